--- a/tests/test_outer_names.py
+++ b/tests/test_outer_names.py
@@ -1,8 +1,8 @@
 """Names that leave the process stay: what clients, engines, peers, operators and stored files know by name.
 
-tests/outer_names.txt lists them by the file that uses them, with the sentences that clients are sent and metrics
-show. A rename inside the program that takes one along breaks a protocol, a settings file, a stored record or an
-operator's dashboard without any other sign.
+tests/outer_names.txt lists them by the file that uses them, with the sentences that clients are sent and that
+metrics show. A rename inside the program that takes one along breaks a protocol, a settings file, a stored
+record or an operator's dashboard without any other sign.
 """
 
 import re
