--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -11,7 +11,7 @@
 
 from lifthead.cli import _fleet
 from lifthead.daemon import serve as daemon
-from lifthead.interface import Effect, Ending
+from lifthead.interface import AttemptOutcome, Idempotency
 
 
 class Known:
@@ -25,8 +25,10 @@
             role,
             True,
         )
-        self.cold_until = self.tokens = self.unread = self.strikes = self.failures = self.report_at = 0
-        self.out, self.report = {}, None
+        self.slow_start_until = self.reserved_tokens = self.pending_prefill_tokens = self.ejections = (
+            self.consecutive_failures
+        ) = self.report_at = 0
+        self.unanswered, self.report = {}, None
 
 
 class Baseline:
@@ -37,88 +39,94 @@
         self.chance = random.Random(deployment.seed)
         self.engines, self.reqs, self.turn = {}, {}, 0
 
-    def on_engines(self, entries, whole_list):
+    def on_engine_list(self, entries, whole_list):
         for entry in entries:
-            known = self.engines.setdefault(entry.engine, Known(entry, self.deployment.roles[entry.kind]))
+            known = self.engines.setdefault(
+                entry.engine, Known(entry, self.deployment.role_by_kind[entry.kind])
+            )
             known.ready = entry.readiness == "ready"
 
-    def on_engines_unavailable(self):
+    def on_engine_list_unavailable(self):
         pass
 
     def pick(self, names):
         raise NotImplementedError
 
-    def on_req(self, demand):
-        effect = self.deployment.groups[demand.group].effect
+    def on_request(self, demand):
+        effect = self.deployment.request_classes[demand.request_class].idempotency
         req = self.reqs[demand.id] = {
             "demand": demand, "effect": effect, "forwards": 0, "out": None, "state": False, "over": False,
             "due": self.host.now() + demand.budget, "begun": False,
         }  # fmt: skip
-        self.host.wake(max(demand.budget - self.deployment.tick, 1), demand.id)
+        self.host.set_timer(max(demand.budget - self.deployment.tick, 1), demand.id)
         self.route(req)
 
     def route(self, req):
         demand = req["demand"]
-        reads = demand.prompt >= 4096 and not req["state"]
+        reads = demand.prompt_tokens >= 4096 and not req["state"]
         names = sorted(e.name for e in self.engines.values() if e.ready and (e.role == "read") == reads)
-        if not names or req["forwards"] >= self.deployment.max_forwards or self.host.now() >= req["due"]:
+        if not names or req["forwards"] >= self.deployment.max_attempts or self.host.now() >= req["due"]:
             return self.end(req, aborted=False)
         req["out"], req["reads"] = req["forwards"], reads
         req["forwards"] += 1
-        return self.host.forward(demand.id, self.pick(names), req["due"], req["due"])
+        return self.host.start_attempt(demand.id, self.pick(names), req["due"], req["due"])
 
     def end(self, req, aborted):
         req["over"] = True
         at = req["demand"].id
         if aborted:
-            self.host.abort(at)
+            self.host.fail(at)
         else:
-            self.host.push_back(at, 100_000)
+            self.host.reject(at, 100_000)
         self.let_go(req)
 
     def let_go(self, req):
         at = req["demand"].id
         if req["out"] is not None and not req["begun"]:
-            self.host.cancel(at, req["out"])
-        self.host.free_state(at)
+            self.host.cancel_attempt(at, req["out"])
+        self.host.release_state(at)
         if req["out"] is None:
             self.reqs.pop(at, None)
 
-    def on_begun(self, req_id, number, took, streamed=True):
+    def on_first_token(self, req_id, number, took, streamed=True):
         if req_id in self.reqs:
             self.reqs[req_id]["begun"], self.reqs[req_id]["state"] = streamed, False
 
-    def on_ended(self, req_id, number, name, ending, took, note, final, report):
+    def on_attempt_ended(self, req_id, number, name, ending, took, note, final, report):
         req = self.reqs.get(req_id)
         if req is None:
             return None
         req["out"] = None
         if final or req["over"] or req["begun"]:
-            self.host.free_state(req_id)
+            self.host.release_state(req_id)
             del self.reqs[req_id]
             return None
-        if ending is Ending.READ:
+        if ending is AttemptOutcome.PREFILLED:
             req["state"] = True
             return self.route(req)
-        if ending is Ending.BUSY and note == 1:
+        if ending is AttemptOutcome.REJECTED and note == 1:
             req["state"] = False
-        not_run = req["reads"] or ending in (Ending.BUSY, Ending.UNREACHABLE, Ending.NOT_SENT)
-        if not_run or req["effect"] is Effect.REPLAYABLE:
+        not_run = req["reads"] or ending in (
+            AttemptOutcome.REJECTED,
+            AttemptOutcome.UNREACHABLE,
+            AttemptOutcome.NOT_SENT,
+        )
+        if not_run or req["effect"] is Idempotency.IDEMPOTENT:
             return self.route(req)
         return self.end(req, aborted=True)
 
-    def on_expired(self, req_id):
+    def on_client_left(self, req_id):
         req = self.reqs.get(req_id)
         if req and not req["over"]:
             req["over"] = True
             self.let_go(req)
 
-    def on_wake(self, label):
+    def on_timer(self, label):
         req = self.reqs.get(label)
         if req and not req["over"] and not req["begun"]:
             self.end(req, aborted=True)
 
-    def on_probed(self, name, report):
+    def on_load_report(self, name, report):
         pass
 
 
--- a/lifthead/control.py
+++ b/lifthead/control.py
@@ -13,13 +13,21 @@
 from hashlib import blake2b
 from heapq import heappop, heappush
 
-from lifthead.interface import Demand, Deployment, Effect, Ending, EngineEntry, Host, LoadReport
+from lifthead.interface import (
+    AttemptOutcome,
+    Deployment,
+    EngineEntry,
+    Host,
+    Idempotency,
+    LoadReport,
+    RequestSpec,
+)
 from lifthead.leases import Lease, retry_after
 from lifthead.routing.request import Request
 from lifthead.routing.slow_start import SlowStart
 from lifthead.routing.tenant_shares import TenantShares
 from lifthead.routing.work_split import WorkSplit, capacity_parts
-from lifthead.state import Attempt, Engine, Histogram, Pool, PrefixHolders
+from lifthead.state import Attempt, Engine, Histogram, PrefixHolders, WeightedPool
 
 # The split (docs/design.md, "The threshold").
 THRESHOLD = 4096  # prompt tokens; shorter ones are read where they are written
@@ -64,7 +72,7 @@
 FEW = 16  # writers of a zone that are all asked; of more, so many stand for it where all were to be asked
 DRAWS = 8  # draws from a larger zone before all of it is asked for room
 ORDERS = 512  # keys whose order of readers is remembered
-NOBODY = Pool([])
+NOBODY = WeightedPool([])
 ANY = ""  # in place of an endpoint group: all of them
 
 # Labels of wake-ups: a request's own is its id, shifted.
@@ -82,13 +90,17 @@
         self.host, self.zone = host, deployment.zone
         self.chance = random.Random(deployment.seed)
         self.tick = max(deployment.tick, 1)
-        self.groups, self.roles, self.memory = deployment.groups, deployment.roles, deployment.memory
-        self.writers_read, self.max_forwards = deployment.writers_read, deployment.max_forwards
-        self.let_go_by, self.may_cancel = deployment.let_go_by, deployment.may_cancel
+        self.groups, self.roles, self.memory = (
+            deployment.request_classes,
+            deployment.role_by_kind,
+            deployment.memory_by_kind,
+        )
+        self.writers_read, self.max_forwards = deployment.decode_engines_prefill, deployment.max_attempts
+        self.let_go_by, self.may_cancel = deployment.lease_duration, deployment.may_cancel
         self.silent_losses = deployment.silent_losses and self.let_go_by > 0
         self.probes = deployment.reports_on_probe and deployment.may_probe
-        self.hold_off = deployment.max_hold_off if deployment.may_hold_off else 0
-        self.window = max(deployment.overload_for, 1)
+        self.hold_off = deployment.max_retry_after if deployment.may_send_retry_after else 0
+        self.window = max(deployment.overload_window, 1)
         self.slow_start = SlowStart(deployment, self.window, self.chance)
         self.tenant_shares = TenantShares(deployment.tenants, deployment.routers, self.window)
         self.engines: dict[str, Engine] = {}
@@ -97,13 +109,13 @@
         self.between_cells: dict[str, WorkSplit] = {}  # by zone
         # Kept up as the list and single engines change, so that few engines are looked at for a request.
         self.readers_in: dict[str, list[Engine]] = {}  # by zone
-        self.writers_in: dict[str, Pool] = {}  # by zone
+        self.writers_in: dict[str, WeightedPool] = {}  # by zone
         self.cells: dict[tuple[str, int], list[Engine]] = {}  # writers, by zone and cell
         self.orders: dict[tuple[str, str], list[Engine]] = {}  # readers as a key ranks them, by key and zone
         self.watched: dict[Engine, None] = {}  # engines with something against them; others are well
         self.late: list[tuple[int, int, int, Engine]] = []  # a heap: when an attempt is past its target
         self.prefix_holders = PrefixHolders()
-        self.least_memory = min((m for m in deployment.memory.values() if m), default=NEVER)
+        self.least_memory = min((m for m in deployment.memory_by_kind.values() if m), default=NEVER)
         self.requests: dict[int, Request] = {}
         self.pace = {work: Histogram(1000, 14, 400) for work in ("read", "fetch", "read there")}
         # Tokens unread at engines that told nothing lately, by role and zone, if they tell only when asked.
@@ -112,16 +124,16 @@
         self.streams = Histogram(100_000, 10, 400)  # how long answers stream
         self.sizes = Histogram(256, 10, 200)  # tokens of an attempt to a writer
         self.reads = Histogram(256, 10, 200)  # unread tokens of an attempt to a reader
-        host.wake(self.window, TURN_OF_WINDOW)
-        host.wake(LOOK_EVERY, LOOK_ROUND)
+        host.set_timer(self.window, TURN_OF_WINDOW)
+        host.set_timer(LOOK_EVERY, LOOK_ROUND)
         self.asking: dict[int, Request] = {}  # which wait for word of readers
         self.unsettled, self.ask_again = True, False
-        if deployment.must_ask:
+        if deployment.list_on_request:
             host.watch_engines()
 
     # What can happen to the list of engines.
 
-    def on_engines(self, entries: list[EngineEntry], whole_list: bool) -> None:
+    def on_engine_list(self, entries: list[EngineEntry], whole_list: bool) -> None:
         """News of engines. Draining, gone and left-out ones get nothing from here on."""
         if whole_list:
             named = {entry.engine for entry in entries}
@@ -133,7 +145,7 @@
             if engine is None:
                 engine = self.engines[entry.engine] = Engine(entry.engine, entry.up_since)
             elif entry.up_since != engine.up_since:  # back under the same name: what was held against it goes
-                engine.strikes, engine.failures, engine.report = 0, 0, None
+                engine.ejections, engine.consecutive_failures, engine.report = 0, 0, None
             engine.zone, engine.cell, engine.up_since = entry.zone, entry.cell, entry.up_since
             engine.weight = entry.weight if 0 < entry.weight < NEVER else 1.0  # not told, or no size
             # An engine of a kind that the settings don't name can't be used: nothing says what it does.
@@ -173,59 +185,68 @@
             writers = [engine for engine in self.writers if engine.zone == zone]
             cells_read, cells_write = capacity_parts(readers, "cell"), capacity_parts(writers, "cell")
             self.between_cells[zone] = WorkSplit(cells_read, cells_write, 1.0)
-            self.readers_in[zone], self.writers_in[zone] = readers, Pool(writers)
+            self.readers_in[zone], self.writers_in[zone] = readers, WeightedPool(writers)
         for writer in self.writers:
             self.cells.setdefault((writer.zone, writer.cell), []).append(writer)
 
-    def on_engines_unavailable(self) -> None:
+    def on_engine_list_unavailable(self) -> None:
         self.ask_again = True
 
     # What can happen to a request.
 
-    def on_req(self, demand: Demand) -> None:
+    def on_request(self, demand: RequestSpec) -> None:
         now = self.host.now()
-        group = self.groups[demand.group]
-        target = group.target_of(demand.prompt)
+        group = self.groups[demand.request_class]
+        target = group.ttft_target_of(demand.prompt_tokens)
         wanted_in = min(target, demand.budget)  # what a client won't wait for is not begun
         # Exception, a short beginning: the key is the session, whose own text is most of what is to be found
         # again. Covers a few beginnings that all share: their readers drowned under text that none had.
-        own = 0 < 2 * demand.beginning_len < demand.prompt and demand.session
-        key = own or demand.beginning or demand.session
+        own = 0 < 2 * demand.prefix_tokens < demand.prompt_tokens and demand.session
+        key = own or demand.prefix_id or demand.session
         request = Request(
-            demand, group, group.effect, demand.prompt, now + demand.budget, key, target, wanted_in
+            demand,
+            group,
+            group.idempotency,
+            demand.prompt_tokens,
+            now + demand.budget,
+            key,
+            target,
+            wanted_in,
         )
         request.over_share = self.tenant_shares.count(demand.tenant, now)
-        if demand.ran:  # the rest of a stream that broke: rule 2 counts what ran, and it goes elsewhere
-            request.may_have_run = self.engines.get(demand.ran)
-            request.run_window_ends = demand.ran_at + group.repeats_for
-            request.tried.add(demand.ran)
+        if (
+            demand.resumed_from
+        ):  # the rest of a stream that broke: rule 2 counts what ran, and it goes elsewhere
+            request.may_have_run_on = self.engines.get(demand.resumed_from)
+            request.repeat_until = demand.resumed_attempt_sent_at + group.repeat_window
+            request.tried_engines.add(demand.resumed_from)
         self.requests[demand.id] = request
-        self.host.wake(max(demand.budget - self.tick, 1), demand.id << 2)
+        self.host.set_timer(max(demand.budget - self.tick, 1), demand.id << 2)
         self._route(request)
 
     def _route(self, request: Request) -> None:
         """The ordinary path of a request, from top to bottom; entered again when the read has ended."""
         now = self.host.now()
         self._settle()
-        if request.attempts >= self.max_forwards or now + self.tick >= request.due_at:
+        if request.attempts >= self.max_forwards or now + self.tick >= request.deadline:
             return self._give_up(request)
         if request.lease and self.silent_losses and now >= request.lease.too_late_at:
             self._release(request)
         if request.lease is None:
             # Exception, a last attempt: after a prefill nobody could be asked to decode.
             last = request.attempts > 0 and request.attempts + 1 == self.max_forwards
-            if request.prompt < THRESHOLD or not self.readers or last:
+            if request.prompt_tokens < THRESHOLD or not self.readers or last:
                 writer = self._draw(request, self._home(request, self.writes_here), None, reads=True)
                 # Exception, a burst: a writer that has enough to read leaves the prompt to the reader of its
                 # key, so that short reads do not pile up before running streams. Also covers a flush.
                 if writer and (last or not (self.readers and self._crowded(writer, request))):
                     return self._send(request, writer, "read there")
             home = self._home(request, self.reads_here)
-            if self.probes and request.near is None and self._ask_first(request, home):
+            if self.probes and request.probe_candidates is None and self._ask_first(request, home):
                 return None
             reader = self._reader(request, home)
             wait = self._wait(reader, request, "read") if reader else NEVER
-            if wait > DROWNED * request.wanted_in:
+            if wait > DROWNED * request.first_token_limit:
                 # Exception, drowned readers: a prompt of any length is read where it is written if that is
                 # sooner and a short read. Covers readers gone, slow or flushed, and hot beginnings.
                 writer = self._stand_in(request, home)
@@ -239,87 +260,98 @@
         writer = self._draw(request, zone, holder.cell, reads=False)
         return self._send(request, writer, "fetch") if writer else self._give_up(request)
 
-    def on_written(self, request_id: int, number: int, reused: bool) -> None:
+    def on_attempt_sent(self, request_id: int, number: int, reused: bool) -> None:
         """An attempt is written whole. `reused`: on a connection that was used before and may be silent."""
         request = self.requests.get(request_id)
-        if request and request.out and request.out.number == number:
-            request.out.reused = reused
+        if request and request.in_flight and request.in_flight.number == number:
+            request.in_flight.on_reused_connection = reused
 
-    def on_begun(self, request_id: int, number: int, took: int, streamed: bool = True) -> None:
+    def on_first_token(self, request_id: int, number: int, took: int, streamed: bool = True) -> None:
         """The answer streams: it has no deadline any more, and weighs until it ends. One that is gathered for
         a client who wants it whole keeps its deadline, and may be begun anew."""
         request = self.requests.get(request_id)
-        if request and request.out and request.out.number == number:
-            request.began, request.lease = streamed, None
-            self._first_answer(request.out, took)
+        if request and request.in_flight and request.in_flight.number == number:
+            request.streaming, request.lease = streamed, None
+            self._first_answer(request.in_flight, took)
 
-    def on_ended(
-        self, request_id: int, number: int, name: str, ending: Ending, took: int, note: int, final: bool,
-        report: LoadReport | None,
+    def on_attempt_ended(
+        self, request_id: int, number: int, name: str, ending: AttemptOutcome, took: int, note: int,
+        final: bool, report: LoadReport | None,
     ) -> None:  # fmt: skip
         now = self.host.now()
         engine = self.engines.get(name)
-        if engine and ending not in (Ending.TIMED_OUT, Ending.CANCELLED, Ending.NOT_SENT, Ending.UNREACHABLE):
+        if engine and ending not in (
+            AttemptOutcome.TIMED_OUT,
+            AttemptOutcome.CANCELLED,
+            AttemptOutcome.NOT_SENT,
+            AttemptOutcome.UNREACHABLE,
+        ):
             engine.heard_at = now
         request = self.requests.get(request_id)
-        expected = request is not None and request.out is not None and request.out.number == number
+        expected = (
+            request is not None and request.in_flight is not None and request.in_flight.number == number
+        )
         if expected:
-            attempt, request.out = request.out, None
-            if self.probes and ending is Ending.READ:
-                self._learn(attempt, max(request.prompt - note, 1))
-            if not attempt.begun and ending in (Ending.READ, Ending.DONE):
+            attempt, request.in_flight = request.in_flight, None
+            if self.probes and ending is AttemptOutcome.PREFILLED:
+                self._learn(attempt, max(request.prompt_tokens - note, 1))
+            if not attempt.has_responded and ending in (AttemptOutcome.PREFILLED, AttemptOutcome.COMPLETED):
                 self._first_answer(attempt, took)
-            attempt.engine.tokens -= attempt.tokens
+            attempt.engine.reserved_tokens -= attempt.reserved_tokens
             self._waits_no_more(attempt)
         if engine and report:
             self._heed(engine, report)
         if not expected:
             return
-        if ending in (Ending.READ, Ending.DONE):
+        if ending in (AttemptOutcome.PREFILLED, AttemptOutcome.COMPLETED):
             self.slow_start.finished(attempt.engine, now)
-            self._keeps(attempt.engine, request, attempt.unread or request.prompt, note)
-        if ending is Ending.DONE:
-            self.streams.add(took - attempt.first_took)
-        if ending in (Ending.UNREACHABLE, Ending.BROKEN, Ending.ERROR):
+            self._keeps(attempt.engine, request, attempt.uncached_tokens or request.prompt_tokens, note)
+        if ending is AttemptOutcome.COMPLETED:
+            self.streams.add(took - attempt.first_response_time)
+        if ending in (AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST, AttemptOutcome.ERROR):
             # One broken connection or error says little, a connection that can't be made that it is down.
             # Errors count, for an engine that fails at once looks idle and would be sent ever more.
-            attempt.engine.failures += 1 + (ending is Ending.UNREACHABLE)
-            attempt.engine.away |= ending is Ending.UNREACHABLE
-            if attempt.engine.failures > 1:
+            attempt.engine.consecutive_failures += 1 + (ending is AttemptOutcome.UNREACHABLE)
+            attempt.engine.was_unreachable |= ending is AttemptOutcome.UNREACHABLE
+            if attempt.engine.consecutive_failures > 1:
                 self._strike(attempt.engine, now)
-        if final or request.answered or request.began:
+        if final or request.answered or request.streaming:
             request.answered = True
-            self.host.free_state(request_id)
+            self.host.release_state(request_id)
             del self.requests[request_id]
             return
-        never_up = ending in (Ending.UNREACHABLE, Ending.NOT_SENT)
-        if ending is Ending.READ:
+        never_up = ending in (AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT)
+        if ending is AttemptOutcome.PREFILLED:
             self._lease(request, attempt.engine)
-            request.tried &= {request.demand.ran}
+            request.tried_engines &= {request.spec.resumed_from}
             return self._route(request)
-        if request.lease and ending in (Ending.BUSY, Ending.ERROR):
+        if request.lease and ending in (AttemptOutcome.REJECTED, AttemptOutcome.ERROR):
             request.lease.since = now  # only an answer proves that the call had arrived
         elif request.lease and never_up and not request.lease.outlives(now, took):
             # Rule 5: nobody fetches while connections don't come up, and the next may take as long as this.
             self._release(request)
-        request.tried.add(name)
-        if ending is Ending.UNREACHABLE:
-            request.unreached.append(attempt.engine.zone)
-        if ending is Ending.BUSY and note == 1:
+        request.tried_engines.add(name)
+        if ending is AttemptOutcome.UNREACHABLE:
+            request.unreachable_zones.append(attempt.engine.zone)
+        if ending is AttemptOutcome.REJECTED and note == 1:
             request.lease = None  # the state is gone: read anew if there is time
-            request.tried.discard(name)  # which says nothing against this engine
-        elif ending is Ending.BUSY:
+            request.tried_engines.discard(name)  # which says nothing against this engine
+        elif ending is AttemptOutcome.REJECTED:
             # Left alone for a while, so that not every request finds out anew. Covers full, throttling ones.
-            attempt.engine.barred[request.demand.group] = now + BARRED_FOR
+            attempt.engine.backoff_until[request.spec.request_class] = now + BARRED_FOR
             self.watched[attempt.engine] = None
-        if attempt.reading or never_up or ending is Ending.BUSY:
+        if attempt.is_prefill or never_up or ending is AttemptOutcome.REJECTED:
             return self._route(request)  # proven not run
-        if request.may_have_run is None:
-            request.may_have_run = attempt.engine
-            request.run_window_ends = attempt.sent_at + request.group.repeats_for
-        return self._give_up(request) if request.effect is Effect.NON_REPLAYABLE else self._route(request)
+        if request.may_have_run_on is None:
+            request.may_have_run_on = attempt.engine
+            request.repeat_until = attempt.sent_at + request.request_class.repeat_window
+        return (
+            self._give_up(request)
+            if request.idempotency is Idempotency.NON_IDEMPOTENT
+            else self._route(request)
+        )
 
-    def on_expired(self, request_id: int) -> None:
+    def on_client_left(self, request_id: int) -> None:
         """The client left: no answer is owed, and what is held or out for the request is let go of."""
         request = self.requests.get(request_id)
         if request and not request.answered:
@@ -329,16 +361,16 @@
         """The host could not go on with a request: nothing of it is awaited any more."""
         request = self.requests.pop(request_id, None)
         self.asking.pop(request_id, None)
-        if request and request.out:
+        if request and request.in_flight:
             request.answered = True
-            request.out.engine.tokens -= request.out.tokens
-            self._waits_no_more(request.out)
+            request.in_flight.engine.reserved_tokens -= request.in_flight.reserved_tokens
+            self._waits_no_more(request.in_flight)
 
-    def on_share(self, tenant: str, part: float) -> None:
+    def on_tenant_share(self, tenant: str, part: float) -> None:
         """A tenant has so much of its share from here on: a budget that runs out comes before its end."""
         self.tenant_shares.set_part(tenant, part)
 
-    def on_wake(self, label: int) -> None:
+    def on_timer(self, label: int) -> None:
         if label == TURN_OF_WINDOW:
             self._turn_of_window()
         elif label == LOOK_ROUND:
@@ -347,20 +379,22 @@
             self._asked(label >> 2)
         elif label & ASKED_LONG == LEASE:
             self._on_lease(label >> 2)
-        elif (request := self.requests.get(label >> 2)) and not request.answered and not request.began:
-            self.host.abort(request.demand.id)
+        elif (request := self.requests.get(label >> 2)) and not request.answered and not request.streaming:
+            self.host.fail(request.spec.id)
             self._let_go(request)
 
-    def on_probed(self, name: str, report: LoadReport | None) -> None:
+    def on_load_report(self, name: str, report: LoadReport | None) -> None:
         engine = self.engines.get(name)
         if engine and report:
             self._heed(engine, report)
-        elif engine and not engine.out:  # busy with others, or gone: without a fresh word it looks idle
-            engine.barred[ANY] = self.host.now() + FRESH
+        elif (
+            engine and not engine.unanswered
+        ):  # busy with others, or gone: without a fresh word it looks idle
+            engine.backoff_until[ANY] = self.host.now() + FRESH
             self.watched[engine] = None
         for request_id, request in list(self.asking.items()):
-            request.awaits.discard(name)
-            if not request.awaits:
+            request.awaited_probes.discard(name)
+            if not request.awaited_probes:
                 self._asked(request_id)
 
     # Held states.
@@ -372,23 +406,23 @@
             self._look_at_lease(request, request.lease.release_at)
 
     def _look_at_lease(self, request: Request, at: int) -> None:
-        self.host.wake(at - self.host.now(), request.demand.id << 2 | LEASE)
+        self.host.set_timer(at - self.host.now(), request.spec.id << 2 | LEASE)
 
     def _on_lease(self, request_id: int) -> None:
         """A decode call that has brought nothing may never have arrived. It is given up for another engine
         where its class allows it and such calls are usually quicker; at the end of the lease the state is
         released, which takes nothing from a call that did arrive."""
         request, now = self.requests.get(request_id), self.host.now()
-        if request is None or request.answered or request.began:
+        if request is None or request.answered or request.streaming:
             return
         if request.lease and now >= request.lease.release_at:
             self._release(request)
         elif request.lease:
             self._look_at_lease(request, request.lease.release_at)
-        call = request.out
-        if call is None or call.begun or call.written_off or now < call.overdue_at:
+        call = request.in_flight
+        if call is None or call.has_responded or call.presumed_lost or now < call.overdue_at:
             return
-        if not call.reused and call.engine.heard_at >= call.sent_at:
+        if not call.on_reused_connection and call.engine.heard_at >= call.sent_at:
             # An engine that answered others since is well, and the call most likely waits in its queue.
             patient_until = call.sent_at + ALIVE_TIMES * (call.overdue_at - call.sent_at)
             if now < patient_until:
@@ -399,16 +433,16 @@
         """A call that may run only once stays out, as it may have arrived; so does one that no other engine
         could take."""
         self._strike(call.engine, now)
-        call.written_off = True
+        call.presumed_lost = True
         unfit = self._unfit(request, False)
         elsewhere = any(e is not call.engine and e not in unfit for e in self.writers)
-        if call.may_repeat and self.may_cancel and elsewhere:
-            request.moved_at = call.sent_at
-            self.host.cancel(request.demand.id, call.number)
+        if call.repeatable and self.may_cancel and elsewhere:
+            request.abandoned_call_sent_at = call.sent_at
+            self.host.cancel_attempt(request.spec.id, call.number)
 
     def _release(self, request: Request) -> None:
         """Lets go of the state: whoever needs it later has the prompt read anew."""
-        self.host.free_state(request.demand.id)
+        self.host.release_state(request.spec.id)
         request.lease = None
 
     def _overdue_at(self, request: Request, call: Attempt) -> int:
@@ -419,11 +453,11 @@
         if not self.silent_losses or request.attempts + 1 >= self.max_forwards:
             return NEVER
         measured = pace.total >= ENOUGH
-        usual = pace.quantile(0.9) * (call.backlog + OVERHEAD) / 1000 if measured else 0
+        usual = pace.quantile(0.9) * (call.prefill_backlog + OVERHEAD) / 1000 if measured else 0
         overdue_at = call.sent_at + max(int(OVERDUE * usual), least)
-        if not request.moved_at:
+        if not request.abandoned_call_sent_at:
             return overdue_at
-        if not any(engine.heard_at >= request.moved_at for engine in self.writers):
+        if not any(engine.heard_at >= request.abandoned_call_sent_at for engine in self.writers):
             return overdue_at if measured else NEVER
         hurries = request.lease and call.sent_at + least // 2 <= request.lease.last_call_at
         return min(overdue_at, request.lease.last_call_at) if hurries else overdue_at
@@ -432,17 +466,21 @@
 
     def _home(self, request: Request, split: WorkSplit) -> str:
         """The zone to serve a request in: this router's, or for what that can't take, one by its key."""
-        drawn = rank(request.key, "")
+        drawn = rank(request.affinity_key, "")
         return split.place(self.zone, int.from_bytes(drawn) / 2**64)
 
     def _reader(self, request: Request, home: str) -> Engine | None:
         """The reader that the key hashes to: the home zone's come first, each zone's in rendezvous order."""
         unfit = self._unfit(request, True)
-        near = [e for e in request.near or () if e.ready and e not in unfit and self._word(e)]
+        near = [e for e in request.probe_candidates or () if e.ready and e not in unfit and self._word(e)]
         if near:  # of those that were asked: what the key's own may keep counts against the others
-            kept = request.demand.beginning_len * (request.key == request.demand.beginning) + LOCAL_UNREAD
-            far = {e: (e is not request.near[0]) * kept + (e.zone != home) * THRESHOLD for e in near}
-            request.near = []
+            kept = (
+                request.spec.prefix_tokens * (request.affinity_key == request.spec.prefix_id) + LOCAL_UNREAD
+            )
+            far = {
+                e: (e is not request.probe_candidates[0]) * kept + (e.zone != home) * THRESHOLD for e in near
+            }
+            request.probe_candidates = []
             return min(near, key=lambda e: self._backlog(e) + far[e])
 
         def cost(engine: Engine) -> int:
@@ -451,11 +489,14 @@
         # Exception, a hot beginning: a reader is passed over for the next in the key's order when what waits
         # there and what it would have to read of this prompt is clearly more than elsewhere. Unread text
         # weighs more than waits: readers that pass prompts on lose each other's texts until none is kept.
-        keep = self.prefix_holders.of(request.demand.beginning, request.demand.session)
+        keep = self.prefix_holders.holders_of(request.spec.prefix_id, request.spec.session)
         keep = [e for e in keep if e.ready and e.role == "read" and e not in unfit]
-        least, asked_all = min([ANEW * request.prompt, *map(cost, keep)]), False  # none costs less than this
+        least, asked_all = (
+            min([ANEW * request.prompt_tokens, *map(cost, keep)]),
+            False,
+        )  # none costs less than this
         for zone in (home, None):
-            for engine in self._order(request.key, zone):
+            for engine in self._order(request.affinity_key, zone):
                 if engine in unfit:
                     continue
                 costs = cost(engine)
@@ -469,18 +510,28 @@
         """Exception, engines that tell their load only when asked: a router that sends little knows nothing
         of most. The first of the key's order are asked, and one of another zone. True: wait for it."""
         unfit, now = self._unfit(request, True), self.host.now()
-        keep = self.prefix_holders.of(request.demand.beginning, request.demand.session)
-        if any(e.ready and e.role == "read" and 2 * self._unread(e, request) < request.prompt for e in keep):
+        keep = self.prefix_holders.holders_of(request.spec.prefix_id, request.spec.session)
+        if any(
+            e.ready and e.role == "read" and 2 * self._unread(e, request) < request.prompt_tokens
+            for e in keep
+        ):
             return False  # this router itself knows who keeps most of it
-        fit = [e for zone in (home, None) for e in self._order(request.key, zone)[:FEW] if e not in unfit]
-        request.near = [e for e in fit if e.zone == home][:ASKED] + [e for e in fit if e.zone != home][:1]
-        late = [engine for engine in request.near if now - engine.report_at >= PROBE_EVERY]
+        fit = [
+            e
+            for zone in (home, None)
+            for e in self._order(request.affinity_key, zone)[:FEW]
+            if e not in unfit
+        ]
+        request.probe_candidates = [e for e in fit if e.zone == home][:ASKED] + [
+            e for e in fit if e.zone != home
+        ][:1]
+        late = [engine for engine in request.probe_candidates if now - engine.report_at >= PROBE_EVERY]
         for reader in late:
-            reader.probed_at, self.asking[request.demand.id] = now, request
+            reader.probed_at, self.asking[request.spec.id] = now, request
             self.host.probe(reader.name)
-            request.awaits.add(reader.name)
+            request.awaited_probes.add(reader.name)
         if late:
-            self.host.wake(ASK_FOR, request.demand.id << 2 | ASKED_LONG)
+            self.host.set_timer(ASK_FOR, request.spec.id << 2 | ASKED_LONG)
         return bool(late)
 
     def _asked(self, request_id: int) -> None:
@@ -532,9 +583,9 @@
 
     def _learn(self, attempt: Attempt, read: int) -> None:
         """A reader has read so many tokens of those that it was taken to have unread."""
-        attempt.backlog += read - int(attempt.unread * self._still_unread())
+        attempt.prefill_backlog += read - int(attempt.uncached_tokens * self._still_unread())
         fade = 0.5 if self.taken_unread > READ_MEMORY else 1.0
-        self.taken_unread = fade * (self.taken_unread + attempt.unread)
+        self.taken_unread = fade * (self.taken_unread + attempt.uncached_tokens)
         self.proved_unread = fade * (self.proved_unread + read)
 
     def _still_unread(self) -> float:
@@ -543,7 +594,7 @@
     def _hopeless(self, request: Request, reader: Engine, wait: float) -> bool:
         """Whether the first token can't be expected in time, and would be waste that makes others late. One
         longer than usual is not refused for that alone, while its client waits: it counts as a usual one."""
-        most = HOPELESS * request.wanted_in * (OVER_SHARE if request.over_share else 1)
+        most = HOPELESS * request.first_token_limit * (OVER_SHARE if request.over_share else 1)
         slow, quick = (self.pace["read"].quantile(q) * self._still_unread() / 1e3 for q in (0.75, 0.25))
         unread = self._unread(reader, request)
         if quick * unread > most / 2:
@@ -553,7 +604,7 @@
         writers = [e for e in self._some(writers) if e not in unfit]
         beyond = sum(map(self._pressure, writers)) / (len(writers) or 1) - 1
         late = wait + max(beyond, 0) * self.streams.quantile(0.5)
-        return late > most or wait > HOPELESS * request.demand.budget
+        return late > most or wait > HOPELESS * request.spec.budget
 
     def _draw(self, request: Request, zone: str, cell: int | None, reads: bool) -> Engine | None:
         """One writer of the cell and one of the zone; the cell's is kept unless it clearly carries more."""
@@ -574,7 +625,7 @@
             usable = [engine for engine in self.writers if able(engine)]
             near = [engine for engine in usable if engine.zone == zone]
             found = [e for e in near if room(e)] or [e for e in usable if room(e)] or near or usable
-            pool, cells, fit = Pool(found), {}, able
+            pool, cells, fit = WeightedPool(found), {}, able
             other = self._pick(pool, fit)
         if other is None:
             return None
@@ -582,16 +633,16 @@
             cell = self.between_cells[zone].place(cell, self.chance.random())
         in_cell = cells.get((zone, cell), ()) if cells else pool.engines
         in_cell = [e for e in in_cell if e.cell == cell and fit(e)]
-        kept = self._pick(Pool(in_cell), fit) or self._pick(pool, fit) or other
+        kept = self._pick(WeightedPool(in_cell), fit) or self._pick(pool, fit) or other
         return other if self._load(kept) > HEAVIER * self._load(other) + HEAVIER_BY else kept
 
     def _some(self, engines: list[Engine]) -> list[Engine]:
         return engines if len(engines) <= FEW else self.chance.sample(engines, FEW)
 
-    def _pick(self, pool: Pool, fit: Callable[[Engine], bool]) -> Engine | None:
+    def _pick(self, pool: WeightedPool, fit: Callable[[Engine], bool]) -> Engine | None:
         """One that fits, drawn by weight; None after a few draws of others."""
         for _ in range(DRAWS if pool.engines else 0):
-            drawn = self.chance.choices(pool.engines, cum_weights=pool.sums)[0]
+            drawn = self.chance.choices(pool.engines, cum_weights=pool.cumulative_weights)[0]
             if fit(drawn):
                 return drawn
         return None
@@ -602,29 +653,29 @@
         now = self.host.now()
         engines = self.readers if reading else self.writers
         watched = [e for e in self._watch(now) if e.ready and (e.role == "read") == reading]
-        tried = [self.engines[name] for name in request.tried if name in self.engines]
+        tried = [self.engines[name] for name in request.tried_engines if name in self.engines]
         unfit = {e for e in tried if e.ready and (e.role == "read") == reading}
-        if request.prompt > self.least_memory:
-            unfit.update(e for e in engines if e.memory and request.prompt > e.memory)
-        if request.may_have_run is not None:
+        if request.prompt_tokens > self.least_memory:
+            unfit.update(e for e in engines if e.memory and request.prompt_tokens > e.memory)
+        if request.may_have_run_on is not None:
             unfit.update(e for e in engines if not self._in_group(e, request, now))
-        down = {e for e in watched if e.failures > 1}
-        ill = {e for e in watched if e.failures > 1 or e.strikes or self._silent(e, now)}
+        down = {e for e in watched if e.consecutive_failures > 1}
+        ill = {e for e in watched if e.consecutive_failures > 1 or e.ejections or self._silent(e, now)}
         # Most of a role looking bad says nothing of single engines.
         trust_all = (len(engines) - len(ill)) * 2 < len(engines) - len(down)
         for e in watched:
-            cold = now < e.cold_until and not self._cold_room(e, now)
+            cold = now < e.slow_start_until and not self._cold_room(e, now)
             if cold or (e in ill and not (self._trial(e, request, now) or (trust_all and e not in down))):
                 unfit.add(e)
-        groups = (ANY, request.demand.group)
-        barred = {e for e in watched if now < max(map(e.barred.get, groups, (0, 0)))} - unfit
+        groups = (ANY, request.spec.request_class)
+        barred = {e for e in watched if now < max(map(e.backoff_until.get, groups, (0, 0)))} - unfit
         # Exception, a lost zone: a request that could not reach two engines of a zone goes on to others, for
         # it has few attempts. Only that request: if all left the zone, one lost rack would drown the others.
-        lost = {zone for zone in request.unreached if request.unreached.count(zone) > 1}
+        lost = {zone for zone in request.unreachable_zones if request.unreachable_zones.count(zone) > 1}
         left = {e for e in engines if e.zone in lost} if lost else set()
         # A request that gave up a silent call goes to engines that are not suspect, and that have been heard
         # of since that call was sent, while there are any.
-        moved_at = 0 if reading else request.moved_at
+        moved_at = 0 if reading else request.abandoned_call_sent_at
         unheard = {e for e in engines if e.heard_at < moved_at} if moved_at else set()
         for more in (left, barred, ill - unfit if moved_at else set(), unheard):
             unfit = unfit | more if len(unfit | more) < len(engines) else unfit
@@ -634,54 +685,66 @@
         """Engines with something against them: strikes, lost connections, cold, barred, or a late answer."""
         while self.late and self.late[0][0] < now:
             _, request_id, number, engine = heappop(self.late)
-            if (request_id, number) in engine.out:
+            if (request_id, number) in engine.unanswered:
                 self.watched[engine] = None
         for engine in list(self.watched):
             late = self._awaited(engine)
-            overdue = late and late.sent_at + late.target < now
-            against = overdue or engine.strikes or engine.failures > 1 or now < engine.cold_until
-            if not against and all(until <= now for until in engine.barred.values()):
+            overdue = late and late.sent_at + late.ttft_target < now
+            against = (
+                overdue
+                or engine.ejections
+                or engine.consecutive_failures > 1
+                or now < engine.slow_start_until
+            )
+            if not against and all(until <= now for until in engine.backoff_until.values()):
                 del self.watched[engine]
         return list(self.watched)
 
     def _in_group(self, engine: Engine, request: Request, now: int) -> bool:
         """Rule 2 for keyed requests: once one may have run, only engines that drop its repeat."""
-        ran, within = request.may_have_run, request.group.keyed_within
-        if ran is None or request.effect is not Effect.KEYED:
+        ran, within = request.may_have_run_on, request.request_class.key_scope
+        if ran is None or request.idempotency is not Idempotency.WITH_KEY:
             return True
         same = within == "all" or (engine.zone == ran.zone and (within == "zone" or engine.cell == ran.cell))
-        return same and now < request.run_window_ends
+        return same and now < request.repeat_until
 
     def _load(self, engine: Engine) -> float:
         """This router's tokens there, as a share of the engine's memory and size."""
-        return engine.tokens / ((engine.memory or 1) * engine.weight)
+        return engine.reserved_tokens / ((engine.memory or 1) * engine.weight)
 
     def _pressure(self, engine: Engine) -> float:
         """Share of a writer's memory or slots that is held, past 1 where requests queue: the engine's fresh
         word with what this router has sent since, or this router's own tokens."""
         memory, report = engine.memory or 1, engine.report
-        own = engine.tokens / memory
+        own = engine.reserved_tokens / memory
         if report is None or self.host.now() - engine.report_at > FRESH:
             return own
         held = max(report.memory_used or 0, report.slots_used or 0)
         if report.queued:
             usual = memory / max(self.sizes.quantile(0.5), 1)
-            running = usual if report.held is None else report.held - report.queued
+            running = usual if report.in_flight is None else report.in_flight - report.queued
             held = max(held, 1) + report.queued / max(running, 1)
-        return max(own, held + own - engine.tokens_then / memory)
+        return max(own, held + own - engine.reserved_tokens_at_report / memory)
 
     def _backlog(self, engine: Engine) -> int:
         """Prompt tokens that wait to be read there, by this router's own or the engine's fresh word."""
         report = self._word(engine)
         if report is None:  # as its zone's engines told; a zone that told nothing as the worst of the others
             known = self.unseen[engine.role]
-            return engine.unread + int(known.get(engine.zone, max(known.values(), default=0.0)))
-        return max(engine.unread, int(self._told(engine, report)) + engine.unread - engine.unread_then)
+            return engine.pending_prefill_tokens + int(
+                known.get(engine.zone, max(known.values(), default=0.0))
+            )
+        return max(
+            engine.pending_prefill_tokens,
+            int(self._told(engine, report))
+            + engine.pending_prefill_tokens
+            - engine.pending_prefill_at_report,
+        )
 
     def _told(self, engine: Engine, report: LoadReport) -> float:
-        if report.unread_thousands is None and engine.role == "read":
+        if report.prefill_backlog_thousands is None and engine.role == "read":
             return (report.queued or 0) * self.reads.quantile(0.5)  # not told in tokens: as usual requests
-        return (report.unread_thousands or 0) * 1000
+        return (report.prefill_backlog_thousands or 0) * 1000
 
     def _word(self, engine: Engine) -> LoadReport | None:
         """The engine's latest report, while it is fresh enough to be believed."""
@@ -692,29 +755,39 @@
 
     def _heed(self, engine: Engine, report: LoadReport) -> None:
         engine.report, engine.report_at = report, self.host.now()
-        engine.barred.pop(ANY, None)
+        engine.backoff_until.pop(ANY, None)
         if self.probes:
             known, tokens = self.unseen[engine.role], self._told(engine, report)
             before = known.get(engine.zone, tokens)
             known[engine.zone] = before + (tokens - before) / ENOUGH
-        engine.tokens_then, engine.unread_then = engine.tokens, engine.unread
+        engine.reserved_tokens_at_report, engine.pending_prefill_at_report = (
+            engine.reserved_tokens,
+            engine.pending_prefill_tokens,
+        )
 
     def _unread(self, engine: Engine, request: Request) -> int:
         """Prompt tokens that the engine is expected to have to read: those past the text that it keeps."""
-        return max(request.prompt - engine.kept_of(request.demand.session, request.demand.beginning), 1)
+        return max(
+            request.prompt_tokens
+            - engine.longest_cached_prefix(request.spec.session, request.spec.prefix_id),
+            1,
+        )
 
     def _keeps(self, engine: Engine, request: Request, unread: int, found: int) -> None:
         """Notes what an engine has read. One that found much less than expected has lost its texts (a flush,
         an untold restart, a memory too small): nothing counts as kept until it is read there again."""
-        kept, demand = engine.kept, request.demand
-        if found < (request.prompt - unread) / 2:
+        kept, demand = engine.cached_prefixes, request.spec
+        if found < (request.prompt_tokens - unread) / 2:
             for key in list(kept):
-                self.prefix_holders.drop(engine, key)
-        for key, length in ((demand.beginning, demand.beginning_len), (demand.session, request.prompt)):
+                self.prefix_holders.remove(engine, key)
+        for key, length in (
+            (demand.prefix_id, demand.prefix_tokens),
+            (demand.session, request.prompt_tokens),
+        ):
             if key:
-                self.prefix_holders.put(engine, key, length)
+                self.prefix_holders.add(engine, key, length)
         while len(kept) > KEPT_KEYS:
-            self.prefix_holders.drop(engine, next(iter(kept)))
+            self.prefix_holders.remove(engine, next(iter(kept)))
 
     def _crowded(self, engine: Engine, request: Request) -> bool:
         unread = self._backlog(engine) + self._unread(engine, request)
@@ -730,7 +803,7 @@
 
     def _awaited(self, engine: Engine) -> Attempt | None:
         """Its oldest unanswered attempt, but none twice that was held against it before."""
-        return next((attempt for attempt in engine.out.values() if not attempt.written_off), None)
+        return next((attempt for attempt in engine.unanswered.values() if not attempt.presumed_lost), None)
 
     def _look_round(self) -> None:
         """What a silent engine holds is called off and tried elsewhere; what must not run twice stays there
@@ -744,44 +817,49 @@
             if not self.may_cancel or peers * 2 > len(role):
                 continue
             self._strike(engine, now)
-            engine.heard_at, engine.away = now, True
-            for attempt in list(engine.out.values()):
-                if not attempt.written_off and (attempt.reading or attempt.may_repeat):
-                    self.host.cancel(attempt.request_id, attempt.number)
-                attempt.written_off = True
-        self.host.wake(LOOK_EVERY, LOOK_ROUND)
+            engine.heard_at, engine.was_unreachable = now, True
+            for attempt in list(engine.unanswered.values()):
+                if not attempt.presumed_lost and (attempt.is_prefill or attempt.repeatable):
+                    self.host.cancel_attempt(attempt.request_id, attempt.number)
+                attempt.presumed_lost = True
+        self.host.set_timer(LOOK_EVERY, LOOK_ROUND)
 
     def _trial(self, engine: Engine, request: Request, now: int) -> bool:
         """A suspect gets one attempt at a time, now and then, and never one that must not run twice."""
-        due = engine.strikes and now >= engine.trial_at and not self._awaited(engine)
-        return bool(due) and request.effect is not Effect.NON_REPLAYABLE
+        due = engine.ejections and now >= engine.next_trial_at and not self._awaited(engine)
+        return bool(due) and request.idempotency is not Idempotency.NON_IDEMPOTENT
 
     def _patience(self, attempt: Attempt) -> int:
         pace = self.pace[self._work(attempt)]
         if pace.total < ENOUGH:
             return NEVER
-        return max(int(PATIENCE * pace.quantile(0.9) * (attempt.backlog + OVERHEAD) / 1000), attempt.target)
+        return max(
+            int(PATIENCE * pace.quantile(0.9) * (attempt.prefill_backlog + OVERHEAD) / 1000),
+            attempt.ttft_target,
+        )
 
     def _work(self, attempt: Attempt) -> str:
-        return "read" if attempt.reading else "read there" if attempt.unread else "fetch"
+        return "read" if attempt.is_prefill else "read there" if attempt.uncached_tokens else "fetch"
 
     def _strike(self, engine: Engine, now: int) -> None:
-        engine.trial_at = now + min(TRIAL_AFTER << engine.strikes, TRIAL_LIMIT)
-        engine.strikes += 1
+        engine.next_trial_at = now + min(TRIAL_AFTER << engine.ejections, TRIAL_LIMIT)
+        engine.ejections += 1
         self.watched[engine] = None
 
     def _first_answer(self, attempt: Attempt, took: int) -> None:
         """The engine answered: a prompt is read or a stream has begun."""
         engine, now, work = attempt.engine, self.host.now(), self._work(attempt)
-        engine.heard_at, engine.failures = now, 0
+        engine.heard_at, engine.consecutive_failures = now, 0
         # What waited unseen is no slowness: it would push back, for long, what would show that it is over.
-        if work != "read" or attempt.told or not self.probes or self.pace[work].total < ENOUGH:
-            self.pace[work].add(took * 1000 // (max(attempt.backlog, 0) + OVERHEAD))
-        attempt.begun, attempt.first_took = True, took
+        if work != "read" or attempt.backlog_reported or not self.probes or self.pace[work].total < ENOUGH:
+            self.pace[work].add(took * 1000 // (max(attempt.prefill_backlog, 0) + OVERHEAD))
+        attempt.has_responded, attempt.first_response_time = True, took
         self._waits_no_more(attempt)
-        if engine.strikes and engine.away:  # back, and likely cold, whether or not the list has said so
+        if (
+            engine.ejections and engine.was_unreachable
+        ):  # back, and likely cold, whether or not the list has said so
             self._begin_slow_start(engine, now)
-        engine.strikes, engine.away = 0, False
+        engine.ejections, engine.was_unreachable = 0, False
 
     # Cold engines.
 
@@ -793,7 +871,7 @@
         """Rule 4 (lifthead/routing/slow_start.py); a cold engine with requests in its queue gets no more."""
         of_role = self.readers if engine.role == "read" else self.writers
         has_room = self.slow_start.has_room(engine, now, len(of_role))
-        return has_room and (now >= engine.cold_until or not self._queues(engine))
+        return has_room and (now >= engine.slow_start_until or not self._queues(engine))
 
     def _turn_of_window(self) -> None:
         now = self.host.now()
@@ -801,40 +879,42 @@
         if self.ask_again:
             self.ask_again = False
             self.host.watch_engines()
-        for engine in [e for e in self.engines.values() if e.gone and not e.out and not e.tokens]:
-            for key in list(engine.kept):  # where new engines come all day, old ones are forgotten
-                self.prefix_holders.drop(engine, key)
+        for engine in [
+            e for e in self.engines.values() if e.gone and not e.unanswered and not e.reserved_tokens
+        ]:
+            for key in list(engine.cached_prefixes):  # where new engines come all day, old ones are forgotten
+                self.prefix_holders.remove(engine, key)
             self.watched.pop(engine, None)
             del self.engines[engine.name]
         for pace in self.pace.values() if now // self.window % FORGET == 0 else ():
             pace.halve()  # a jam that is over is forgotten: what is pushed back measures nothing new
         self.slow_start.window_over(self.readers + self.writers, now)
-        self.host.wake(self.window, TURN_OF_WINDOW)
+        self.host.set_timer(self.window, TURN_OF_WINDOW)
 
     # Acting.
 
     def _send(self, request: Request, engine: Engine, work: str) -> None:
         now = self.host.now()
         unread = 0 if work == "fetch" else self._unread(engine, request)
-        tokens = 0 if work == "read" else request.prompt + request.demand.max_out
-        backlog = request.prompt if work == "fetch" else self._to_read(engine, unread, work)
-        may_repeat = request.effect is not Effect.NON_REPLAYABLE
+        tokens = 0 if work == "read" else request.prompt_tokens + request.spec.max_output_tokens
+        backlog = request.prompt_tokens if work == "fetch" else self._to_read(engine, unread, work)
+        may_repeat = request.idempotency is not Idempotency.NON_IDEMPOTENT
         attempt = Attempt(
-            request.demand.id, request.attempts, engine, now, tokens, unread, backlog, work == "read",
-            may_repeat, request.target, told=self._word(engine) is not None,
+            request.spec.id, request.attempts, engine, now, tokens, unread, backlog, work == "read",
+            may_repeat, request.ttft_target, backlog_reported=self._word(engine) is not None,
         )  # fmt: skip
         if work == "fetch":
             attempt.overdue_at = self._overdue_at(request, attempt)
-            if attempt.overdue_at < request.due_at:
+            if attempt.overdue_at < request.deadline:
                 self._look_at_lease(request, attempt.overdue_at)
-        engine.tokens += tokens
+        engine.reserved_tokens += tokens
         (self.sizes if tokens else self.reads).add(tokens or unread)
-        engine.unread += unread
-        engine.out[request.demand.id, attempt.number] = attempt
-        heappush(self.late, (now + request.target, request.demand.id, attempt.number, engine))
+        engine.pending_prefill_tokens += unread
+        engine.unanswered[request.spec.id, attempt.number] = attempt
+        heappush(self.late, (now + request.ttft_target, request.spec.id, attempt.number, engine))
         self.slow_start.sent(engine, now)
-        request.out, request.attempts = attempt, request.attempts + 1
-        self.host.forward(request.demand.id, engine.name, request.due_at, request.run_window_ends)
+        request.in_flight, request.attempts = attempt, request.attempts + 1
+        self.host.start_attempt(request.spec.id, engine.name, request.deadline, request.repeat_until)
         self._ask_near(engine)
 
     def _ask_near(self, engine: Engine) -> None:
@@ -849,23 +929,25 @@
                     self.host.probe(asked.name)
 
     def _waits_no_more(self, attempt: Attempt) -> None:
-        if attempt.engine.out.pop((attempt.request_id, attempt.number), None):
-            attempt.engine.unread -= attempt.unread
+        if attempt.engine.unanswered.pop((attempt.request_id, attempt.number), None):
+            attempt.engine.pending_prefill_tokens -= attempt.uncached_tokens
 
     def _give_up(self, request: Request) -> None:
         """The final answer where no engine is left: pushed back where a repeat does no harm."""
-        harmless = request.effect is Effect.REPLAYABLE or request.may_have_run is None
-        if harmless or (request.effect is Effect.KEYED and request.group.keyed_within == "all"):
-            self.host.push_back(request.demand.id, self.chance.randint(self.hold_off // 2, self.hold_off))
+        harmless = request.idempotency is Idempotency.IDEMPOTENT or request.may_have_run_on is None
+        if harmless or (
+            request.idempotency is Idempotency.WITH_KEY and request.request_class.key_scope == "all"
+        ):
+            self.host.reject(request.spec.id, self.chance.randint(self.hold_off // 2, self.hold_off))
         else:
-            self.host.abort(request.demand.id)
+            self.host.fail(request.spec.id)
         self._let_go(request)
 
     def _let_go(self, request: Request) -> None:
         """Rule 5: no answer frees what is held, so it is freed with each; what is out is called off."""
         request.answered = True
-        if request.out and not request.began and self.may_cancel:
-            self.host.cancel(request.demand.id, request.out.number)
-        self.host.free_state(request.demand.id)
-        if request.out is None:
-            del self.requests[request.demand.id]
+        if request.in_flight and not request.streaming and self.may_cancel:
+            self.host.cancel_attempt(request.spec.id, request.in_flight.number)
+        self.host.release_state(request.spec.id)
+        if request.in_flight is None:
+            del self.requests[request.spec.id]
--- a/lifthead/daemon/gauges.py
+++ b/lifthead/daemon/gauges.py
@@ -2,7 +2,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-from lifthead.interface import Ending
+from lifthead.interface import AttemptOutcome
 
 SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32)
 
@@ -42,7 +42,7 @@
     def ended(self, group: str, ended: str) -> None:
         self._ended.labels(group, ended).inc()
 
-    def forwarded(self, ending: Ending) -> None:
+    def forwarded(self, ending: AttemptOutcome) -> None:
         self._forwards.labels(ending.value).inc()
 
     def first(self, group: str, took: int) -> None:
--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -26,7 +26,7 @@
 from lifthead.guard import RequestGuard, Rule
 from lifthead.hosting import now, wall_ahead
 from lifthead.http1 import HttpError
-from lifthead.interface import Demand, Deployment, Effect, Ending, EngineEntry, LoadReport
+from lifthead.interface import AttemptOutcome, Deployment, EngineEntry, Idempotency, LoadReport, RequestSpec
 from lifthead.members.weight import Lately
 from lifthead.resume.notice import Notice
 from lifthead.resume.rescue import Rescue
@@ -62,7 +62,7 @@
         self._log = log
         self._resumes = resumes
         self._bill = bill
-        self._effects = {group.name: group.effect for group in deployment.groups.values()}
+        self._effects = {group.name: group.idempotency for group in deployment.request_classes.values()}
         # Engines must not take the requests of this start for those of the one before.
         self._life = f"{time.time_ns() // 1_000_000:x}"
         self._streams: dict[int, ChatRequest] = {}  # whose stream has begun and may break, by serial
@@ -96,13 +96,13 @@
         self.starts.listed(at)
         if news.whole:
             self._only({listed.name for listed in news.engines}, at)
-        self.router.on_engines(entries, news.whole)
+        self.router.on_engine_list(entries, news.whole)
 
     def _link(self, address: str) -> Link:
         return Link(address, self.limits.connect_within / 1e6)
 
     def on_list_lost(self) -> None:
-        self.router.on_engines_unavailable()
+        self.router.on_engine_list_unavailable()
 
     @property
     def ready_writers(self) -> int:
@@ -133,7 +133,7 @@
         """Has the module place a leg of the request."""
         asked = pending.asked
         self._tell_module(
-            Demand(
+            RequestSpec(
                 pending.id,
                 asked.group,
                 asked.tenant,
@@ -154,39 +154,39 @@
         """The client went away: what is out for it is called off, what is held is let go of."""
         if not self._answered(pending, "left"):
             return
-        self.router.on_expired(pending.id)
+        self.router.on_client_left(pending.id)
         self.rescue.settled(pending.serial)
         self._streams.pop(pending.serial, None)
         if pending.begun and pending.attempt:
-            self.cancel(pending.id, pending.attempt.number)  # a stream that nobody reads
+            self.cancel_attempt(pending.id, pending.attempt.number)  # a stream that nobody reads
 
     # What the module does.
 
-    def forward(self, req: int, engine: str, abandon_at: int, send_by: int) -> None:
-        self.pending_requests[req].sent += 1
-        super().forward(req, engine, abandon_at, send_by)
+    def start_attempt(self, request_id: int, engine: str, abandon_at: int, send_by: int) -> None:
+        self.pending_requests[request_id].sent += 1
+        super().start_attempt(request_id, engine, abandon_at, send_by)
 
-    def free_state(self, req: int) -> None:
-        super().free_state(req)
-        if pending := self.pending_requests.get(req):
+    def release_state(self, request_id: int) -> None:
+        super().release_state(request_id)
+        if pending := self.pending_requests.get(request_id):
             pending.handle = None
 
-    def push_back(self, req: int, hold_off: int) -> None:
-        pending = self.pending_requests[req]
+    def reject(self, request_id: int, retry_after: int) -> None:
+        pending = self.pending_requests[request_id]
         if pending.reply.begun:
             return self._break_off(pending, "no place was found for the rest of it")
         if self._answered(pending, "pushed back"):
             headers = {
                 **self._headers(pending),
-                "retry-after": str(-(-hold_off // 1_000_000) or 1),
-                "retry-after-ms": str(hold_off // 1000),
+                "retry-after": str(-(-retry_after // 1_000_000) or 1),
+                "retry-after-ms": str(retry_after // 1000),
             }
             pending.reply.whole(
                 503, chat.error(503, "overloaded", "pushed back: trying again does no harm"), headers
             )
 
-    def abort(self, req: int) -> None:
-        pending = self.pending_requests[req]
+    def fail(self, request_id: int) -> None:
+        pending = self.pending_requests[request_id]
         if pending.reply.begun:
             return self._break_off(pending, "the rest of it could not be had in time")
         if self._answered(pending, "aborted"):
@@ -213,7 +213,9 @@
                     raise asyncio.CancelledError
                 try:
                     # A kept connection that its engine closes can't be told from an attempt that ran.
-                    may_repeat = attempt.reading or self._effects[pending.asked.group] is Effect.REPLAYABLE
+                    may_repeat = (
+                        attempt.reading or self._effects[pending.asked.group] is Idempotency.IDEMPOTENT
+                    )
                     connection = await endpoint.link.take(fresh=not may_repeat or attempt.number > 0)
                 except (OSError, TimeoutError):
                     observation = Observation.NO_CONNECTION
@@ -256,7 +258,7 @@
             sent = codec.write_req(address, name, asked.client_id, asked.key, pending.body, pending.handle)
         await connection.send(sent)
         pending.guard.written(attempt)
-        self.router.on_written(pending.id, attempt.number, connection.uses > 0)
+        self.router.on_attempt_sent(pending.id, attempt.number, connection.uses > 0)
         head = await connection.head()
         endpoint.answered_for = max(endpoint.answered_for, attempt.sent_at)
         pending.guard.confirmed_by(attempt)
@@ -274,7 +276,7 @@
             pending.guard.leased(attempt, now())
             return Observation.READ, kept, report
         if report:
-            self.router.on_probed(attempt.engine, report)  # now, not when the stream ends
+            self.router.on_load_report(attempt.engine, report)  # now, not when the stream ends
         splice = None
         if pending.legs:
             splice = Splice(pending.written, asked.stop, codec.continues_at(head.headers))
@@ -376,7 +378,7 @@
         pending.begun, pending.handle = True, None
         pending.guard.fetched(attempt, at)
         self._releases.look_at(pending.guard)
-        self.router.on_begun(pending.id, attempt.number, at - attempt.sent_at, pending.asked.streamed)
+        self.router.on_first_token(pending.id, attempt.number, at - attempt.sent_at, pending.asked.streamed)
         if pending.legs:
             self.rescue.settled(pending.serial)
             self.gauges.gap(at - pending.broken_at)
@@ -423,7 +425,7 @@
         self._streams.pop(pending.serial, None)
         self.notice.ended(pending.serial)
         waits = False
-        if pending.begun and ending is not Ending.DONE:
+        if pending.begun and ending is not AttemptOutcome.COMPLETED:
             if not pending.asked.streamed:
                 pending.begun = False  # nothing of it has reached the client
                 pending.made += attempt.tokens
@@ -432,9 +434,9 @@
             else:  # its client left
                 pending.made += pending.written.settle().tokens - pending.before
                 pending.sent_tokens = pending.written.tokens
-        final = ending is Ending.DONE or pending.ended != "" or waits
+        final = ending is AttemptOutcome.COMPLETED or pending.ended != "" or waits
         with self._telling(pending):
-            self.router.on_ended(
+            self.router.on_attempt_ended(
                 pending.id,
                 attempt.number,
                 attempt.engine,
@@ -445,7 +447,7 @@
                 report,
             )
         if pending.ended and pending.attempt is None:
-            self.free_state(pending.id)  # guards rule 5 where the module has forgotten the request
+            self.release_state(pending.id)  # guards rule 5 where the module has forgotten the request
         self._forget(pending)
         if waits:
             self._place()
@@ -475,7 +477,7 @@
     async def _probe(self, engine: str) -> None:
         link = self.endpoints[engine].link
         answer = await link.ask(codec.probe_req(link.address), ASK_WITHIN)
-        self.router.on_probed(engine, codec.load_report(answer[0].headers) if answer else None)
+        self.router.on_load_report(engine, codec.load_report(answer[0].headers) if answer else None)
 
     # The end of a request.
 
@@ -487,7 +489,7 @@
             return False
         pending.ended_at = now()
         self.gauges.ended(pending.asked.group, ended)
-        target = self._groups[pending.asked.group].target_of(pending.asked.prompt)
+        target = self._groups[pending.asked.group].ttft_target_of(pending.asked.prompt)
         late = pending.asked.streamed and pending.first_at - pending.taken_at > target
         if ended != "left":
             self.lately.add(now(), ended == "pushed back", ended != "done" or late)
@@ -522,9 +524,9 @@
                     pending.reply.end(chat.error_event("stopping", "this router stops"))
                 else:
                     pending.reply.whole(502, chat.error(502, "stopping", "aborted: this router stops"))
-                self.router.on_expired(pending.id)
+                self.router.on_client_left(pending.id)
             if pending.attempt:
-                self.cancel(pending.id, pending.attempt.number)
+                self.cancel_attempt(pending.id, pending.attempt.number)
 
     def _violated(self, rule: Rule, request: str, why: str) -> None:
         self.gauges.violations.labels(rule.value).inc()
--- a/lifthead/daemon/resuming.py
+++ b/lifthead/daemon/resuming.py
@@ -114,7 +114,7 @@
         pending = self._streams.get(serial)
         if pending and pending.attempt and self._movable(pending):
             pending.attempt.lost = cause
-            self.cancel(pending.id, pending.attempt.number)
+            self.cancel_attempt(pending.id, pending.attempt.number)
 
     async def look_after_streams(self) -> None:
         """Looks for silent writers, for streams that would outlive a drain, and for those that waited too
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -78,7 +78,7 @@
         self.weight = Weight(random.Random(seed))
         self.roster: Roster | None = None
         self.following: asyncio.Task | None = None  # the watched file of engines
-        self.drains = Drains(start.roles)
+        self.drains = Drains(start.role_by_kind)
         self._drains_file = run_dir / f"operator-{name}.json"
         if self._drains_file.exists():  # what an operator drained stays so over a restart
             self.drains.word = msgspec.json.decode(self._drains_file.read_bytes(), type=Word)
@@ -343,7 +343,7 @@
                 worst = 0.0
                 if self.biller:
                     for tenant, part in self.biller.shares().items():
-                        self.host.router.on_share(tenant, part)
+                        self.host.router.on_tenant_share(tenant, part)
 
 
 def of_specs(specs: dict[str, EngineSpec]) -> list[ListedEngine]:
--- a/lifthead/deployment/derive.py
+++ b/lifthead/deployment/derive.py
@@ -1,7 +1,7 @@
 """From a fleet's description to what one router of it is started with."""
 
 from lifthead.deployment.fleet import Fleet
-from lifthead.interface import Deployment, Effect, EndpointGroup, Tenant
+from lifthead.interface import Deployment, Idempotency, RequestClass, Tenant
 
 TICK = 10_000  # how late the loop may turn to a deadline: the grain of the daemon's clock
 
@@ -14,10 +14,10 @@
         routers=len(fleet.routers),
         tick=TICK,
         seed=seed,
-        groups={
-            group.name: EndpointGroup(
+        request_classes={
+            group.name: RequestClass(
                 group.name,
-                Effect(group.effect),
+                Idempotency(group.effect),
                 group.keyed_within,
                 group.keyed_for,
                 group.target,
@@ -30,20 +30,20 @@
             for group in fleet.groups.values()
         },
         tenants={tenant.name: Tenant(tenant.name, tenant.share_per_s) for tenant in fleet.tenants.values()},
-        roles={kind.name: kind.role for kind in fleet.kinds.values()},
-        memory={kind.name: kind.memory for kind in fleet.kinds.values()},
-        writers_read=rules.writers_read,
-        let_go_by=rules.let_go_within,
-        cold_share=rules.cold_share,
-        warm_within=rules.warm_within,
-        tip_multiple=rules.tip_multiple,
-        overload_for=rules.overload_for,
-        max_forwards=rules.max_forwards,
+        role_by_kind={kind.name: kind.role for kind in fleet.kinds.values()},
+        memory_by_kind={kind.name: kind.memory for kind in fleet.kinds.values()},
+        decode_engines_prefill=rules.writers_read,
+        lease_duration=rules.let_go_within,
+        slow_start_share=rules.cold_share,
+        slow_start_duration=rules.warm_within,
+        overload_multiple=rules.tip_multiple,
+        overload_window=rules.overload_for,
+        max_attempts=rules.max_forwards,
         may_cancel=True,
         may_probe=rules.probes,
-        may_hold_off=rules.max_hold_off > 0,
-        max_hold_off=rules.max_hold_off,
+        may_send_retry_after=rules.max_hold_off > 0,
+        max_retry_after=rules.max_hold_off,
         reports_on_probe=rules.probes,
-        must_ask=False,
-        ask_within=0,
+        list_on_request=False,
+        list_requested_within=0,
     )
--- a/lifthead/engines/codec.py
+++ b/lifthead/engines/codec.py
@@ -12,7 +12,7 @@
 
 from lifthead import http1
 from lifthead.http1 import Headers, Message
-from lifthead.interface import Ending, LoadReport
+from lifthead.interface import AttemptOutcome, LoadReport
 
 NOT_RUN = "x-lifthead-not-run"  # extension: "1" on an answer to work that was turned away before it was begun
 CONTINUES_AT = "x-lifthead-continues-at"  # extension: characters of the answer so far that it takes as given
@@ -37,19 +37,19 @@
 
 
 # Proven not run: UNREACHABLE, NOT_SENT, BUSY. All others may have run.
-ENDINGS: dict[Observation, tuple[Ending, int]] = {
-    Observation.NO_CONNECTION: (Ending.UNREACHABLE, 0),
-    Observation.STALE: (Ending.NOT_SENT, 0),
-    Observation.CALLED_OFF: (Ending.CANCELLED, 0),
-    Observation.OUT_OF_TIME: (Ending.TIMED_OUT, 0),
-    Observation.READ: (Ending.READ, 0),
-    Observation.WRITTEN: (Ending.DONE, 0),
-    Observation.TURNED_AWAY: (Ending.BUSY, 0),
-    Observation.STATE_GONE: (Ending.BUSY, 1),
-    Observation.REFUSED_UNMARKED: (Ending.ERROR, 0),
-    Observation.CUT: (Ending.BROKEN, 0),
-    Observation.STRANGE: (Ending.BROKEN, 0),
-    Observation.STALLED: (Ending.BROKEN, 0),
+ENDINGS: dict[Observation, tuple[AttemptOutcome, int]] = {
+    Observation.NO_CONNECTION: (AttemptOutcome.UNREACHABLE, 0),
+    Observation.STALE: (AttemptOutcome.NOT_SENT, 0),
+    Observation.CALLED_OFF: (AttemptOutcome.CANCELLED, 0),
+    Observation.OUT_OF_TIME: (AttemptOutcome.TIMED_OUT, 0),
+    Observation.READ: (AttemptOutcome.PREFILLED, 0),
+    Observation.WRITTEN: (AttemptOutcome.COMPLETED, 0),
+    Observation.TURNED_AWAY: (AttemptOutcome.REJECTED, 0),
+    Observation.STATE_GONE: (AttemptOutcome.REJECTED, 1),
+    Observation.REFUSED_UNMARKED: (AttemptOutcome.ERROR, 0),
+    Observation.CUT: (AttemptOutcome.CONNECTION_LOST, 0),
+    Observation.STRANGE: (AttemptOutcome.CONNECTION_LOST, 0),
+    Observation.STALLED: (AttemptOutcome.CONNECTION_LOST, 0),
 }
 
 PROVEN_NOT_RUN = frozenset(
@@ -283,11 +283,11 @@
     running = _sane(named.get("num_requests_running"))
     unread = _sane(named.get("prompt_tokens_waiting"))
     return LoadReport(
-        held=None if running is None else running + (waiting or 0),
+        in_flight=None if running is None else running + (waiting or 0),
         queued=waiting,
         slots_used=_sane(load.application_utilization),
         memory_used=_sane(named.get("kv_cache_usage_perc", load.mem_utilization)),
-        unread_thousands=None if unread is None else unread / 1000,
+        prefill_backlog_thousands=None if unread is None else unread / 1000,
     )
 
 
--- a/lifthead/guard.py
+++ b/lifthead/guard.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from lifthead.held_audit import Entry, Fact, longest_unclaimed
-from lifthead.interface import Effect
+from lifthead.interface import Idempotency
 from lifthead.releases import ReleaseSchedule
 
 HELD_SLACK = 300_000  # what the platform allows beyond the settings' time for a held state
@@ -122,7 +122,7 @@
     """`allowed`: how long a state may be held while no attempt has arrived, 0 without limit."""
 
     request: str
-    effect: Effect
+    effect: Idempotency
     due_at: int
     allowed: int
     violations: Violations
@@ -196,7 +196,7 @@
         if attempt.reading:
             self.held = Held(attempt.engine, HeldState.POSSIBLE, attempt.serial)
             self._prefills[attempt.serial] = attempt.engine
-        elif self.may_have_run and self.effect is Effect.NON_REPLAYABLE:
+        elif self.may_have_run and self.effect is Idempotency.NON_IDEMPOTENT:
             self.violations.add(Rule.SINGLE_EFFECT, self.request, f"sent again, to {attempt.engine}")
         self.releases.sending(attempt.serial, now, attempt.reading)
         self._note(now, Fact.PREFILL_SENT if attempt.reading else Fact.CALL_SENT, attempt)
@@ -331,6 +331,6 @@
         if not self.begun and final != "left" and now > self.due_at + ANSWER_SLACK:
             late_ms = (now - self.due_at) // 1000
             self.violations.add(Rule.FINAL_ANSWER, self.request, f"{final} {late_ms} ms late")
-        if final == "pushed back" and self.may_have_run and self.effect is Effect.NON_REPLAYABLE:
+        if final == "pushed back" and self.may_have_run and self.effect is Idempotency.NON_IDEMPOTENT:
             self.violations.add(Rule.SINGLE_EFFECT, self.request, "rejected, though it may have run")
         return True
--- a/lifthead/hosting.py
+++ b/lifthead/hosting.py
@@ -22,7 +22,7 @@
 from lifthead.engines.link import Connection, Link
 from lifthead.guard import HELD_SLACK, Attempt, Refusal, RequestGuard, Rule, Violations, Work
 from lifthead.http1 import Message
-from lifthead.interface import Demand, Deployment
+from lifthead.interface import Deployment, RequestSpec
 from lifthead.release_tasks import ReleaseTasks
 from lifthead.starts import StartTimes
 
@@ -104,10 +104,10 @@
         self.empty.set()
         self.router: control.Router
         self.violations = Violations(self._violated)
-        self._allowed = deployment.let_go_by
+        self._allowed = deployment.lease_duration
         self._tasks = tasks
-        self._groups = deployment.groups
-        self._roles = deployment.roles
+        self._groups = deployment.request_classes
+        self._roles = deployment.role_by_kind
         self._loop = asyncio.get_running_loop()
         self._next = 1
         self._told_of: PendingRequest | None = None  # the request that the module is being told of
@@ -137,10 +137,10 @@
         finally:
             self._told_of = None
 
-    def _tell_module(self, demand: Demand, pending: PendingRequest) -> None:
+    def _tell_module(self, demand: RequestSpec, pending: PendingRequest) -> None:
         """Has the module place a request."""
         with self._telling(pending):
-            self.router.on_req(demand)
+            self.router.on_request(demand)
 
     # The list of engines.
 
@@ -178,7 +178,7 @@
         )
 
     def _guard(self, request: str, group: str, budget: int) -> RequestGuard:
-        effect = self._groups[group].effect
+        effect = self._groups[group].idempotency
         return RequestGuard(request, effect, now() + budget, self._allowed, self.violations)
 
     def _violated(self, rule: Rule, request: str, why: str) -> None:
@@ -201,8 +201,8 @@
     def now(self) -> int:
         return now()
 
-    def wake(self, after: int, label: int) -> None:
-        timer = self._loop.call_later(max(after, 0) / 1e6, self._ring, label)
+    def set_timer(self, after: int, key: int) -> None:
+        timer = self._loop.call_later(max(after, 0) / 1e6, self._ring, key)
         if self._told_of:  # a timer for a request is of no use once the request is over
             self._told_of.timers.append(timer)
 
@@ -213,12 +213,12 @@
             self._loop.call_soon(self._ring, label, turns - 1)
         elif not self._stopped:
             try:
-                self.router.on_wake(label)
+                self.router.on_timer(label)
             except Exception:
                 log.exception("wake-up %d", label)
 
-    def forward(self, req: int, engine: str, abandon_at: int, send_by: int) -> None:
-        pending, at = self.pending_requests[req], now()
+    def start_attempt(self, request_id: int, engine: str, abandon_at: int, send_by: int) -> None:
+        pending, at = self.pending_requests[request_id], now()
         send_by = min(send_by, abandon_at)
         work = self._work(pending, engine)
         pending.attempt = self.attempt_type(
@@ -248,8 +248,8 @@
 
     def _give_up(self, pending: Any) -> None:
         """The final answer where the module can't be asked any more."""
-        self.abort(pending.id)
-        self.free_state(pending.id)
+        self.fail(pending.id)
+        self.release_state(pending.id)
         self.router.forget(pending.id)
         self._forget(pending)
 
@@ -272,23 +272,25 @@
     def _check_slow_start(self, pending: Any, name: str, at: int) -> None:
         """A cold engine gets no more than this router's part, which is counted when the attempt is placed."""
         engine = self.router.engines.get(name)
-        if engine and at < engine.cold_until and engine.cold_credit < 0:
-            self.violations.add(Rule.SLOW_START, pending.guard.request, f"{name}: {engine.cold_credit:.2f}")
+        if engine and at < engine.slow_start_until and engine.slow_start_credit < 0:
+            self.violations.add(
+                Rule.SLOW_START, pending.guard.request, f"{name}: {engine.slow_start_credit:.2f}"
+            )
 
-    def cancel(self, req: int, forward: int) -> None:
-        pending = self.pending_requests.get(req)
+    def cancel_attempt(self, request_id: int, number: int) -> None:
+        pending = self.pending_requests.get(request_id)
         attempt = pending.attempt if pending else None
-        if attempt is None or attempt.number != forward or attempt.called_off:
+        if attempt is None or attempt.number != number or attempt.called_off:
             return
         attempt.called_off = True
         if attempt.started and attempt.task:
             attempt.task.cancel()
 
-    def abort(self, req: int) -> None:
+    def fail(self, request_id: int) -> None:
         raise NotImplementedError
 
-    def free_state(self, req: int) -> None:
-        if pending := self.pending_requests.get(req):
+    def release_state(self, request_id: int) -> None:
+        if pending := self.pending_requests.get(request_id):
             pending.guard.release_wanted(now())
             self._releases.look_at(pending.guard)
 
--- a/lifthead/interface.py
+++ b/lifthead/interface.py
@@ -1,7 +1,7 @@
-"""What crosses between the decision module (control.py) and the program that hosts it.
+"""The interface between the decision module (control.py) and the program that hosts it.
 
-The host calls one method of control.Router for each thing that happens and hands over a `Host`, through
-which the module acts. Times are whole microseconds on the host's clock; ids stay as the host gives them.
+The host calls one method of control.Router for each event and passes itself as a `Host`, through which the
+module acts. Times are whole microseconds on the host's clock; ids are opaque and come from the host.
 """
 
 from dataclasses import dataclass
@@ -9,49 +9,51 @@
 from typing import Protocol
 
 
-class Ending(Enum):
-    """How a forward ended."""
+class AttemptOutcome(Enum):
+    """How an attempt ended."""
 
-    DONE = "done"
-    READ = "read"  # the prompt is read and its state waits at the reader
-    BUSY = "busy"  # turned away, or no state to fetch
+    COMPLETED = "done"  # the whole answer was received
+    PREFILLED = "read"  # the prompt is prefilled and its KV state waits at the prefill engine
+    REJECTED = "busy"  # the engine turned the attempt away, or had no state to fetch
     ERROR = "error"
     TIMED_OUT = "timed out"
-    UNREACHABLE = "unreachable"  # no connection was made
-    BROKEN = "broken"  # the connection broke with the forward in flight
+    UNREACHABLE = "unreachable"  # no connection was established
+    CONNECTION_LOST = "broken"  # the connection broke while the attempt was in flight
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
 
-class Effect(Enum):
-    """What may happen if a req of an endpoint group runs twice."""
+class Idempotency(Enum):
+    """Whether a request of a class may run twice."""
 
-    REPLAYABLE = "replayable"
-    KEYED = "keyed"
-    NON_REPLAYABLE = "non-replayable"
+    IDEMPOTENT = "replayable"
+    WITH_KEY = "keyed"  # engines recognise a repeat by its idempotency key and drop it
+    NON_IDEMPOTENT = "non-replayable"
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointGroup:
+class RequestClass:
+    """Requests that share their idempotency, latency targets and weight."""
+
     name: str
-    effect: Effect
-    keyed_within: str  # "all", "zone" or "cell": the engines that drop a keyed repeat
-    keyed_for: int
-    target: int  # response target, before the part that grows with the prompt
-    target_per_1000: int
+    idempotency: Idempotency
+    key_scope: str  # engines that recognise a repeated key: "all", or those of one "zone" or "cell"
+    key_ttl: int  # how long a key is remembered
+    ttft_target: int  # time to first token, before the part that grows with the prompt
+    ttft_target_per_1000: int  # added for each 1000 prompt tokens
     deadline: int
-    token_target: int
-    importance: float
-    late_share: float  # part of the importance that a late answer still earns
+    tpot_target: int  # time per output token
+    weight: float  # what an answer in time is worth
+    late_share: float  # part of the weight that a late answer still earns
 
     @property
-    def repeats_for(self) -> int:
-        """How long after an attempt that may have run its repeat is known as one, or may run as well."""
-        return self.keyed_for if self.effect is Effect.KEYED else 1 << 62
+    def repeat_window(self) -> int:
+        """How long after an attempt that may have run the request may be sent again."""
+        return self.key_ttl if self.idempotency is Idempotency.WITH_KEY else 1 << 62
 
-    def target_of(self, prompt: int) -> int:
-        """Response target of a prompt of so many tokens, microseconds."""
-        return self.target + self.target_per_1000 * prompt // 1000
+    def ttft_target_of(self, prompt_tokens: int) -> int:
+        """TTFT target for a prompt of this length, in microseconds."""
+        return self.ttft_target + self.ttft_target_per_1000 * prompt_tokens // 1000
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,31 +64,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What an instance is told when it starts."""
+    """Settings that a router instance gets when it starts."""
 
     zone: str
     routers: int
-    tick: int
+    tick: int  # resolution of the host's timers
     seed: int
-    groups: dict[str, EndpointGroup]
+    request_classes: dict[str, RequestClass]
     tenants: dict[str, Tenant]
-    roles: dict[str, str]  # engine kind -> "read", "write" or "both"
-    memory: dict[str, int]  # engine kind -> tokens
-    writers_read: bool
-    let_go_by: int
-    cold_share: float
-    warm_within: int
-    tip_multiple: float
-    overload_for: int
-    max_forwards: int
+    role_by_kind: dict[str, str]  # engine kind -> "read" (prefill), "write" (decode) or "both" (mixed)
+    memory_by_kind: dict[str, int]  # engine kind -> KV memory, in tokens
+    decode_engines_prefill: bool  # decode engines can prefill prompts as well
+    lease_duration: int  # how long a prefill engine may hold a state; 0: without limit
+    slow_start_share: float  # part of a warm engine's throughput that a cold one may be sent
+    slow_start_duration: int  # time after its start in which an engine counts as cold
+    overload_multiple: float  # a cold engine is overloaded by this many times its slow-start share
+    overload_window: int  # time over which that is measured
+    max_attempts: int
     may_cancel: bool
     may_probe: bool
-    may_hold_off: bool
-    max_hold_off: int
-    reports_on_probe: bool
-    must_ask: bool  # news of engines comes only when asked for
-    ask_within: int
-    silent_losses: bool = True  # what is sent may never arrive without a word; the simulator tells of each
+    may_send_retry_after: bool
+    max_retry_after: int
+    reports_on_probe: bool  # engines report their load only in answer to a probe
+    list_on_request: bool  # updates of the engine list come only when requested
+    list_requested_within: int  # time within which the list must be requested
+    silent_losses: bool = True  # messages may get lost unnoticed; the simulator reports every loss
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,51 +106,51 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """An engine's own word on its load; a figure that it does not give is None."""
+    """An engine's own load figures; None for a figure that it does not report."""
 
-    held: float | None = None
-    queued: float | None = None
-    slots_used: float | None = None
-    memory_used: float | None = None
-    unread_thousands: float | None = None
+    in_flight: float | None = None  # requests, running and queued
+    queued: float | None = None  # requests
+    slots_used: float | None = None  # share of its slots
+    memory_used: float | None = None  # share of its KV memory
+    prefill_backlog_thousands: float | None = None  # prompt tokens that wait to be prefilled, in thousands
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
-    """A req as its client sent it."""
+class RequestSpec:
+    """A request as its client sent it."""
 
     id: int
-    group: str
+    request_class: str
     tenant: str
     budget: int
-    prompt: int
-    max_out: int
+    prompt_tokens: int
+    max_output_tokens: int
     session: str
-    beginning: str  # id of the shared beginning, "" if none
-    beginning_len: int
-    expected_time: int  # rough time of the whole answer at the token target, 0 if not told
-    again: bool
-    ran: str = ""  # the engine whose stream of it broke: this is the rest of it ...
-    ran_at: int = 0  # ... and when that forward was sent
+    prefix_id: str  # id of the shared prefix, "" if none
+    prefix_tokens: int  # length of the shared prefix
+    expected_time: int  # estimated time of the whole answer at the TPOT target, 0 if not given
+    is_retry: bool
+    resumed_from: str = ""  # the engine whose stream broke, if this request continues that stream
+    resumed_attempt_sent_at: int = 0  # when the attempt of the broken stream was sent
 
 
 class Host(Protocol):
-    """What the module may do. Every call is carried out at the time of the event being handled. An attempt
-    whose connection comes up only after `send_by` is not sent, and ends so."""
+    """What the module may do. Each call takes effect at the time of the event that is being handled. An
+    attempt whose connection is not up by `send_by` ends as not sent."""
 
     def now(self) -> int: ...
 
-    def forward(self, req: int, engine: str, abandon_at: int, send_by: int) -> None: ...
+    def start_attempt(self, request_id: int, engine: str, abandon_at: int, send_by: int) -> None: ...
 
-    def cancel(self, req: int, forward: int) -> None: ...
+    def cancel_attempt(self, request_id: int, number: int) -> None: ...
 
-    def free_state(self, req: int) -> None: ...
+    def release_state(self, request_id: int) -> None: ...
 
-    def push_back(self, req: int, hold_off: int) -> None: ...
+    def reject(self, request_id: int, retry_after: int) -> None: ...
 
-    def abort(self, req: int) -> None: ...
+    def fail(self, request_id: int) -> None: ...
 
-    def wake(self, after: int, label: int) -> None: ...
+    def set_timer(self, after: int, key: int) -> None: ...
 
     def probe(self, engine: str) -> None: ...
 
--- a/lifthead/lab/crowd.py
+++ b/lifthead/lab/crowd.py
@@ -150,7 +150,7 @@
             tokens = min(round(tokens * long.long_times), MOST_PROMPT)
         session.prompt += tokens + AROUND
         self.asked += 1
-        target = self.routers[0].groups[mix.group].target_of(session.prompt)
+        target = self.routers[0].groups[mix.group].ttft_target_of(session.prompt)
         want = Want(
             f"c{self.asked}", session, self.clock.now, target, int(group.deadline), session.prompt,
             chance.random() >= self.crowd.unstreamed, chance.random() < self.crowd.leaves,
--- a/lifthead/lab/engine.py
+++ b/lifthead/lab/engine.py
@@ -399,9 +399,9 @@
     def load(self) -> LoadReport:
         waiting = len(self.waiting) + max(self.reading - self.like.slots, 0)
         return LoadReport(
-            held=float(self.slots + min(self.reading, self.like.slots) + waiting),
+            in_flight=float(self.slots + min(self.reading, self.like.slots) + waiting),
             queued=float(waiting),
             slots_used=min(self.slots / self.like.slots, 1.0),
             memory_used=min(self.used / self.memory, 1.0),
-            unread_thousands=self.unread / 1000,
+            prefill_backlog_thousands=self.unread / 1000,
         )
--- a/lifthead/lab/router.py
+++ b/lifthead/lab/router.py
@@ -10,7 +10,7 @@
 from lifthead.deployment.derive import deployment
 from lifthead.deployment.fleet import EngineSpec, Fleet
 from lifthead.engines.codec import ENDINGS, Observation
-from lifthead.interface import Demand, Ending, EngineEntry, LoadReport
+from lifthead.interface import AttemptOutcome, EngineEntry, LoadReport, RequestSpec
 from lifthead.lab.clock import Clock
 from lifthead.lab.engine import Engine, Sent
 from lifthead.resume import notice
@@ -55,7 +55,7 @@
         self.rescue = Rescue()
         self._next = 1
         start = deployment(self.fleet, self.name, hash_seed(self.seed, self.name, self.life))
-        self.grace, self.groups = int(self.fleet.rules.drain_grace), start.groups
+        self.grace, self.groups = int(self.fleet.rules.drain_grace), start.request_classes
         self.control = self.decide(self, start)
 
     def kill(self) -> list[Hand]:
@@ -77,7 +77,7 @@
             news.append(
                 EngineEntry(spec.name, spec.zone, spec.cell, spec.kind, spec.weight, up_since, readiness)
             )
-        self.control.on_engines(news, whole)
+        self.control.on_engine_list(news, whole)
 
     @property
     def ready(self) -> bool:
@@ -94,7 +94,7 @@
 
     def _place(self, hand: Hand, budget: int, prompt: int, most: int) -> None:
         ask = hand.ask
-        self.control.on_req(Demand(
+        self.control.on_request(RequestSpec(
             hand.id, ask.group, ask.tenant, budget, prompt, most, ask.session, ask.beginning,
             ask.beginning_len, 0, ask.again or hand.legs > 0, *hand.ran,
         ))  # fmt: skip
@@ -103,11 +103,11 @@
         if hand.ended or not self.up:
             return
         hand.ended = "left"
-        self.control.on_expired(hand.id)
+        self.control.on_client_left(hand.id)
         self.rescue.settled(hand.serial)
         self.streams.pop(hand.serial, None)
         if hand.begun and hand.out:
-            self.cancel(hand.id, hand.out.number)
+            self.cancel_attempt(hand.id, hand.out.number)
         self._forget(hand)
 
     # What the module does.
@@ -115,15 +115,15 @@
     def now(self) -> int:
         return self.clock.now
 
-    def wake(self, after: int, label: int) -> None:
-        self.clock.after(after, self._ring, self.life, label)
+    def set_timer(self, after: int, key: int) -> None:
+        self.clock.after(after, self._ring, self.life, key)
 
     def _ring(self, life: int, label: int) -> None:
         if life == self.life and self.up:
-            self.control.on_wake(label)
+            self.control.on_timer(label)
 
-    def forward(self, req: int, engine: str, abandon_at: int, send_by: int) -> None:
-        hand, at = self.hands[req], self.engines[engine]
+    def start_attempt(self, request_id: int, engine: str, abandon_at: int, send_by: int) -> None:
+        hand, at = self.hands[request_id], self.engines[engine]
         ask, prompt = hand.ask, hand.ask.prompt + hand.written
         hand.out = sent = Sent(
             f"{self.name}-{self.life:x}-{hand.serial}.{hand.sent}", ask.id, self, hand, hand.forwards, at,
@@ -153,17 +153,17 @@
             return self.told(sent, Observation.CUT, 0, None)
         return sent.engine.arrive(sent)
 
-    def cancel(self, req: int, forward: int) -> None:
-        hand = self.hands.get(req)
+    def cancel_attempt(self, request_id: int, number: int) -> None:
+        hand = self.hands.get(request_id)
         sent = hand.out if hand else None
-        if sent and sent.number == forward and not sent.called_off:
+        if sent and sent.number == number and not sent.called_off:
             sent.called_off = True
             observation = Observation.STALLED if sent.lost else Observation.CALLED_OFF
             self.clock.after(0, self._end, sent, observation)
 
-    def free_state(self, req: int) -> None:
+    def release_state(self, request_id: int) -> None:
         """A decode call that has arrived keeps its state: a release takes nothing from it."""
-        hand = self.hands.get(req)
+        hand = self.hands.get(request_id)
         if hand and hand.held:
             hand.release_due = hand.out is not None and hand.out.engine.reachable
             if not hand.release_due:
@@ -175,11 +175,11 @@
             self.clock.after(HOP, engine.release, forward)
             hand.held = None
 
-    def push_back(self, req: int, hold_off: int) -> None:
-        self._answer(self.hands[req], "pushed back", hold_off)
+    def reject(self, request_id: int, retry_after: int) -> None:
+        self._answer(self.hands[request_id], "pushed back", retry_after)
 
-    def abort(self, req: int) -> None:
-        self._answer(self.hands[req], "aborted", 0)
+    def fail(self, request_id: int) -> None:
+        self._answer(self.hands[request_id], "aborted", 0)
 
     def _answer(self, hand: Hand, how: str, hold_off: int = 0) -> None:
         if hand.ended:
@@ -196,7 +196,7 @@
 
     def _probed(self, life: int, engine: str) -> None:
         if life == self.life and not self.engines[engine].down:
-            self.control.on_probed(engine, self.engines[engine].load())
+            self.control.on_load_report(engine, self.engines[engine].load())
 
     def watch_engines(self) -> None:
         """The list is pushed."""
@@ -208,8 +208,8 @@
             return
         hand, ask = sent.hand, sent.hand.ask
         hand.begun, hand.held = True, None
-        self.control.on_probed(sent.engine.spec.name, report)
-        self.control.on_begun(hand.id, sent.number, self.clock.now - sent.sent_at, ask.streamed)
+        self.control.on_load_report(sent.engine.spec.name, report)
+        self.control.on_first_token(hand.id, sent.number, self.clock.now - sent.sent_at, ask.streamed)
         if hand.legs:
             self.rescue.settled(hand.serial)
         elif ask.streamed:
@@ -252,13 +252,13 @@
             hand.release_due = False
             self._release(hand)
         waits = False
-        if hand.begun and ending is not Ending.DONE:
+        if hand.begun and ending is not AttemptOutcome.COMPLETED:
             if not hand.ask.streamed:
                 hand.begun = False
             elif not hand.ended:
                 waits = self._broken(hand, sent, min(made, sent.words))
-        final = ending is Ending.DONE or hand.ended != "" or waits
-        self.control.on_ended(
+        final = ending is AttemptOutcome.COMPLETED or hand.ended != "" or waits
+        self.control.on_attempt_ended(
             hand.id, sent.number, sent.engine.spec.name, ending, self.clock.now - sent.sent_at, note or mark,
             final, report,
         )  # fmt: skip
@@ -325,7 +325,7 @@
         )
         if movable and not hand.ended and not self.rescue.refusal(self._as_broken(hand, sent)):
             sent.lost = why
-            self.cancel(hand.id, sent.number)
+            self.cancel_attempt(hand.id, sent.number)
 
     def lose(self, engine: Engine, why: str) -> None:
         """Its streams are moved, those that can be: a while into a silence, as resume/notice.py would, and
--- a/lifthead/node/clients.py
+++ b/lifthead/node/clients.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from lifthead.http1 import Headers, HttpError, Message
-from lifthead.interface import Demand, EndpointGroup
+from lifthead.interface import RequestClass, RequestSpec
 
 PATH = "/v1/chat/completions"
 READY = "/ready"
@@ -41,7 +41,7 @@
 _decode = msgspec.json.Decoder(_Body).decode
 
 
-def demand_of(message: Message, req: int, groups: dict[str, EndpointGroup], waited: int = 0) -> Demand:
+def demand_of(message: Message, req: int, groups: dict[str, RequestClass], waited: int = 0) -> RequestSpec:
     """A client's message as a demand under this number; HttpError with a 4xx if it is none. `waited`:
     microseconds since its last byte came."""
     if message.path.partition("?")[0] != PATH:
@@ -66,18 +66,18 @@
     if prompt > len(message.body):
         raise HttpError(400, f"x-props' prompt_len is {prompt}, more than the body holds")
     beginning = props.get("prefix", "")
-    return Demand(
+    return RequestSpec(
         id=req,
-        group=group,
+        request_class=group,
         tenant=headers.get("x-customer", ""),
         budget=max(waits * 1000 - waited, 0),
-        prompt=prompt,
-        max_out=_number(props, "max_out", "x-props' max_out", max(body.max_tokens, 0)),
+        prompt_tokens=prompt,
+        max_output_tokens=_number(props, "max_out", "x-props' max_out", max(body.max_tokens, 0)),
         session=headers.get("x-object", ""),
-        beginning=beginning,
-        beginning_len=_number(props, "prefix_len", "x-props' prefix_len", 0) if beginning else 0,
+        prefix_id=beginning,
+        prefix_tokens=_number(props, "prefix_len", "x-props' prefix_len", 0) if beginning else 0,
         expected_time=0,
-        again=headers.get("x-second-try", "") == "again",
+        is_retry=headers.get("x-second-try", "") == "again",
     )
 
 
--- a/lifthead/node/engines.py
+++ b/lifthead/node/engines.py
@@ -13,7 +13,7 @@
 from lifthead.engines import codec
 from lifthead.engines.codec import Observation
 from lifthead.http1 import Headers, HttpError, Message
-from lifthead.interface import Ending, LoadReport
+from lifthead.interface import AttemptOutcome, LoadReport
 from lifthead.node.clients import ID
 
 HEAD_BYTES = 16_384  # of an answer; more is no head
@@ -31,17 +31,17 @@
      "trailer", "transfer-encoding", "upgrade", "expect", "content-length", "host", EXPIRES)
 )  # fmt: skip
 REPORTED = {  # both ways to name a figure of a report
-    "inflight": "held",
-    "rif": "held",
+    "inflight": "in_flight",
+    "rif": "in_flight",
     "queue": "queued",
     "q": "queued",
     "util": "slots_used",
     "x0": "memory_used",
-    "x1": "unread_thousands",
+    "x1": "prefill_backlog_thousands",
 }
 
 # What came spoilt says nothing of the engine's machine, so it counts as an error of its program.
-ENDINGS = {**codec.ENDINGS, Observation.STRANGE: (Ending.ERROR, 0)}
+ENDINGS = {**codec.ENDINGS, Observation.STRANGE: (AttemptOutcome.ERROR, 0)}
 
 
 class _Read(msgspec.Struct):
--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -20,7 +20,7 @@
 from lifthead.guard import RequestGuard, Rule, Work
 from lifthead.hosting import AttemptInFlight, Hosting, now, wall_ahead
 from lifthead.http1 import HttpError, Message
-from lifthead.interface import Effect, LoadReport
+from lifthead.interface import Idempotency, LoadReport
 from lifthead.node import clients, engines
 from lifthead.node.discovery import News
 from lifthead.node.start import Start
@@ -88,7 +88,7 @@
         self.starts.listed(at)
         if news.whole:
             self._only({entry.engine for entry in entries}, at)
-        self.router.on_engines(entries, news.whole)
+        self.router.on_engine_list(entries, news.whole)
 
     def _link(self, address: str) -> Link:
         bounds = (engines.HEAD_BYTES, engines.PIECE_BYTES)
@@ -107,13 +107,17 @@
             reply.keep_alive = False
             return reply.whole(problem.status, clients.error(problem.status, "bad_req", problem.said))
         self._next += 1
-        guard = self._guard(client_id, demand.group, demand.budget)
-        pending = PendingRequest(id=demand.id, reply=reply, guard=guard, group=demand.group, message=message)
+        guard = self._guard(client_id, demand.request_class, demand.budget)
+        pending = PendingRequest(
+            id=demand.id, reply=reply, guard=guard, group=demand.request_class, message=message
+        )
         self.pending_requests[pending.id] = pending
         self._open_ids.add(client_id)
         self.empty.clear()
         reply.left = lambda: self._left(pending)
-        self._note_event(pending, Event.TAKEN, detail=f"class={demand.group} prompt={demand.prompt}")
+        self._note_event(
+            pending, Event.TAKEN, detail=f"class={demand.request_class} prompt={demand.prompt_tokens}"
+        )
         self._tell_module(demand, pending)
         await reply.finished.wait()
         self._forget(pending)
@@ -130,20 +134,20 @@
         """The client went away: what is out for it is called off, what is held is let go of."""
         if not self._answered(pending, "left"):
             return
-        self.router.on_expired(pending.id)
+        self.router.on_client_left(pending.id)
         if pending.begun and pending.attempt:
-            self.cancel(pending.id, pending.attempt.number)  # a stream that nobody reads
+            self.cancel_attempt(pending.id, pending.attempt.number)  # a stream that nobody reads
         self._forget(pending)
 
     # What the module does.
 
-    def push_back(self, req: int, hold_off: int) -> None:
-        pending = self.pending_requests[req]
+    def reject(self, request_id: int, retry_after: int) -> None:
+        pending = self.pending_requests[request_id]
         if self._answered(pending, "pushed back"):
-            pending.reply.whole(*clients.push_back(hold_off))
+            pending.reply.whole(*clients.push_back(retry_after))
 
-    def abort(self, req: int) -> None:
-        pending = self.pending_requests[req]
+    def fail(self, request_id: int) -> None:
+        pending = self.pending_requests[request_id]
         if self._answered(pending, "aborted"):
             pending.reply.whole(*clients.abort())
 
@@ -166,7 +170,9 @@
                 if attempt.called_off:
                     raise asyncio.CancelledError
                 # A kept connection that was dropped at the other end can't be told from an attempt that ran.
-                may_repeat = attempt.reading or self._groups[pending.group].effect is Effect.REPLAYABLE
+                may_repeat = (
+                    attempt.reading or self._groups[pending.group].idempotency is Idempotency.IDEMPOTENT
+                )
                 fetches_again = attempt.work is Work.FETCH and attempt.number > 1
                 for fresh in (not may_repeat or fetches_again, *[True] * engines.CONNECT_AGAIN):
                     connection = None
@@ -241,7 +247,7 @@
         self._note_event(pending, Event.WRITING, attempt, f"uses={connection.uses}")
         await connection.send(engines.forward(pending.message, due_at - attempt.sent_at))
         pending.guard.written(attempt)
-        self.router.on_written(pending.id, attempt.number, connection.uses > 0)
+        self.router.on_attempt_sent(pending.id, attempt.number, connection.uses > 0)
         self._note_event(pending, Event.WRITTEN, attempt)
         head = await connection.head()
         endpoint.heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, attempt.sent_at)
@@ -284,7 +290,7 @@
                 self._releases.look_at(pending.guard)
                 self._note_event(pending, Event.FETCHED, attempt)
                 pending.message.body = b""  # there is no further attempt, and streams are long
-                self.router.on_begun(pending.id, attempt.number, now() - attempt.sent_at)
+                self.router.on_first_token(pending.id, attempt.number, now() - attempt.sent_at)
                 pending.reply.begin({}, passes)
                 room = True
             else:
@@ -319,11 +325,11 @@
         took = now() - attempt.sent_at
         self._note_event(pending, Event.ENDED, attempt, f"outcome={observation.name.lower()} took_us={took}")
         with self._telling(pending):
-            self.router.on_ended(
+            self.router.on_attempt_ended(
                 pending.id, attempt.number, attempt.engine, ending, took, note or mark, final, report
             )
         if pending.ended and pending.attempt is None:
-            self.free_state(pending.id)  # guards rule 5 where the module has forgotten the request
+            self.release_state(pending.id)  # guards rule 5 where the module has forgotten the request
         self._forget(pending)
 
     def _make_room(self) -> None:
@@ -407,7 +413,7 @@
         if answer:
             head, body = answer
             report = engines.report_with(head.headers) or engines.report_of(body.decode("latin-1"))
-        self.router.on_probed(engine, report)
+        self.router.on_load_report(engine, report)
 
     async def _ask(
         self, engine: str, data: bytes, within: float, fresh: bool = False
--- a/lifthead/node/serve.py
+++ b/lifthead/node/serve.py
@@ -60,7 +60,7 @@
             host.on_news(told.known)
             host.starts.begin_anew()  # it may be an old list
         version = told.known.version if told.known else 0
-        shared = told.deployment.must_ask
+        shared = told.deployment.list_on_request
         follower = Follower(told.discovery, version, host.on_news, told.deployment.seed, shared)
         door = Clients(Bounds(told.clients), host.answer, clients.error, clients.FIRST_WITHIN)
         host.shed = door.make_room
--- a/lifthead/resume/rescue.py
+++ b/lifthead/resume/rescue.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from heapq import heappop, heappush
 
-from lifthead.interface import Effect, EndpointGroup
+from lifthead.interface import Idempotency, RequestClass
 
 MOST_FOR_REQ = 3  # times that one stream is placed again
 AT_ONCE = 8  # streams that are being placed at once, at least ...
@@ -24,7 +24,7 @@
 
     stream: int
     tenant: str
-    group: EndpointGroup
+    group: RequestClass
     written: int  # answer tokens that its client has
     to_read: int  # prompt and answer so far
     left: int  # tokens that it may still write; 0: all that it may
@@ -46,9 +46,9 @@
     def refusal(self, broken: Broken) -> str:
         """Why this stream is not placed again; "" if it may be."""
         group = broken.group
-        if group.effect is Effect.NON_REPLAYABLE:
+        if group.idempotency is Idempotency.NON_IDEMPOTENT:
             return "non-replayable: it has run"
-        if group.effect is Effect.KEYED and broken.broken_at >= broken.ran_at + group.keyed_for:
+        if group.idempotency is Idempotency.WITH_KEY and broken.broken_at >= broken.ran_at + group.key_ttl:
             return "keyed: its repeat is known no more"
         if broken.obstacle:
             return broken.obstacle
@@ -66,7 +66,7 @@
 
     def _order(self, broken: Broken) -> tuple:
         """Who comes first: the more important; of those, what has been paid for; then the cheaper to read."""
-        return (-broken.group.importance, -broken.written, broken.to_read, broken.broken_at, broken.stream)
+        return (-broken.group.weight, -broken.written, broken.to_read, broken.broken_at, broken.stream)
 
     @property
     def places(self) -> int:
@@ -105,15 +105,15 @@
     def latest(self, broken: Broken) -> int:
         """Until when a stream waits for its place."""
         wait = broken.broken_at + int(broken.group.deadline * WAIT_PART)
-        if broken.group.effect is Effect.KEYED:
-            wait = min(wait, broken.ran_at + broken.group.keyed_for)
+        if broken.group.idempotency is Idempotency.WITH_KEY:
+            wait = min(wait, broken.ran_at + broken.group.key_ttl)
         return wait
 
     def budget(self, broken: Broken, now: int) -> int:
         """Time for the new first token: a client waits for it as long as it would for a first one."""
         budget = broken.broken_at + broken.group.deadline - now
-        if broken.group.effect is Effect.KEYED:
-            budget = min(budget, broken.ran_at + broken.group.keyed_for - now)
+        if broken.group.idempotency is Idempotency.WITH_KEY:
+            budget = min(budget, broken.ran_at + broken.group.key_ttl - now)
         return max(budget, 1)
 
     def settled(self, stream: int) -> None:
--- a/lifthead/simhost/serve.py
+++ b/lifthead/simhost/serve.py
@@ -19,23 +19,23 @@
     def now(self) -> int:
         return self._clock[0]
 
-    def forward(self, req: int, engine: str, abandon_at: int, send_by: int) -> None:
-        self._reply.append(f"ROUTE{self._at}Id={req} Engine={engine} AbandonAt={abandon_at}")
+    def start_attempt(self, request_id: int, engine: str, abandon_at: int, send_by: int) -> None:
+        self._reply.append(f"ROUTE{self._at}Id={request_id} Engine={engine} AbandonAt={abandon_at}")
 
-    def cancel(self, req: int, forward: int) -> None:
-        self._reply.append(f"ABORT_ATTEMPT{self._at}Id={req} Try={forward}")
+    def cancel_attempt(self, request_id: int, number: int) -> None:
+        self._reply.append(f"ABORT_ATTEMPT{self._at}Id={request_id} Try={number}")
 
-    def free_state(self, req: int) -> None:
-        self._reply.append(f"FREE_STATE{self._at}Id={req}")
+    def release_state(self, request_id: int) -> None:
+        self._reply.append(f"FREE_STATE{self._at}Id={request_id}")
 
-    def push_back(self, req: int, hold_off: int) -> None:
-        self._reply.append(f"OVERLOAD_REPLY{self._at}Id={req} HoldOff={hold_off}")
+    def reject(self, request_id: int, retry_after: int) -> None:
+        self._reply.append(f"OVERLOAD_REPLY{self._at}Id={request_id} HoldOff={retry_after}")
 
-    def abort(self, req: int) -> None:
-        self._reply.append(f"REPORT_FAILURE{self._at}Id={req}")
+    def fail(self, request_id: int) -> None:
+        self._reply.append(f"REPORT_FAILURE{self._at}Id={request_id}")
 
-    def wake(self, after: int, label: int) -> None:
-        self._reply.append(f"AFTER{self._at}FromNow={after} Label={label}")
+    def set_timer(self, after: int, key: int) -> None:
+        self._reply.append(f"AFTER{self._at}FromNow={after} Label={key}")
 
     def probe(self, engine: str) -> None:
         self._reply.append(f"POLL{self._at}Engine={engine}")
@@ -65,9 +65,9 @@
         if name == "HALT":
             del self.routers[number]
         elif name == "DEMAND":
-            router.on_req(wire.demand_of(fields))
+            router.on_request(wire.demand_of(fields))
         elif name == "ENDED":
-            router.on_ended(
+            router.on_attempt_ended(
                 whole(fields, "Id"),
                 whole(fields, "Try", 0),
                 required(fields, "Engine"),
@@ -79,22 +79,22 @@
             )
         elif name == "ESTABLISHED":
             took = whole(fields, "Took", 0)
-            router.on_begun(whole(fields, "Id"), whole(fields, "Try", 0), took)
+            router.on_first_token(whole(fields, "Id"), whole(fields, "Try", 0), took)
         elif name == "EXPIRED":
-            router.on_expired(whole(fields, "Id"))
+            router.on_client_left(whole(fields, "Id"))
         elif name == "ALARM":
-            router.on_wake(whole(fields, "Label"))
+            router.on_timer(whole(fields, "Label"))
         elif name == "ECHO":
-            router.on_probed(required(fields, "Engine"), wire.report_of(fields))
+            router.on_load_report(required(fields, "Engine"), wire.report_of(fields))
         elif name == "BACKENDS_CHANGED":
             how = required(fields, "How")
             if how == "unavailable":
-                router.on_engines_unavailable()
+                router.on_engine_list_unavailable()
             elif how in ("update", "replace", "restored"):
                 sheet = self.sheets.get(fields.get("List", "0"))
                 if sheet is None:
                     raise MalformedError("BACKENDS_CHANGED names a list that was never sent")
-                router.on_engines(sheet, whole_list=how != "update")
+                router.on_engine_list(sheet, whole_list=how != "update")
             else:
                 raise MalformedError(f"How={how[:40]} is not known")
 
--- a/lifthead/simhost/wire.py
+++ b/lifthead/simhost/wire.py
@@ -1,26 +1,26 @@
 """Turns the wire's text into the module's plain types. It translates and nothing else."""
 
-from lifthead.interface import Demand, Ending, EngineEntry, LoadReport
+from lifthead.interface import AttemptOutcome, EngineEntry, LoadReport, RequestSpec
 from lifthead.terms import Fields, MalformedError, flag, named, real, required, whole
 
 ENDINGS = {
-    "done": Ending.DONE,
-    "staged": Ending.READ,
-    "busy": Ending.BUSY,
-    "err": Ending.ERROR,
-    "etimedout": Ending.TIMED_OUT,
-    "econnrefused": Ending.UNREACHABLE,
-    "econnreset": Ending.BROKEN,
-    "ecanceled": Ending.CANCELLED,
-    "skipped": Ending.NOT_SENT,
+    "done": AttemptOutcome.COMPLETED,
+    "staged": AttemptOutcome.PREFILLED,
+    "busy": AttemptOutcome.REJECTED,
+    "err": AttemptOutcome.ERROR,
+    "etimedout": AttemptOutcome.TIMED_OUT,
+    "econnrefused": AttemptOutcome.UNREACHABLE,
+    "econnreset": AttemptOutcome.CONNECTION_LOST,
+    "ecanceled": AttemptOutcome.CANCELLED,
+    "skipped": AttemptOutcome.NOT_SENT,
 }
 READINESS = {"live": "ready", "quiescing": "draining", "dead": "gone"}
 REPORT_FIELDS = {
-    "rif": "held",
+    "rif": "in_flight",
     "q": "queued",
     "busy": "slots_used",
     "x0": "memory_used",
-    "x1": "unread_thousands",
+    "x1": "prefill_backlog_thousands",
 }
 
 
@@ -66,17 +66,17 @@
     )
 
 
-def demand_of(fields: Fields) -> Demand:
-    return Demand(
+def demand_of(fields: Fields) -> RequestSpec:
+    return RequestSpec(
         id=whole(fields, "Id"),
-        group=fields.get("Cls", ""),
+        request_class=fields.get("Cls", ""),
         tenant=text_of(fields, "UserGroup"),
         budget=whole(fields, "Budget"),
-        prompt=whole(fields, "NPrompt", 0),
-        max_out=whole(fields, "NMax", 0),
+        prompt_tokens=whole(fields, "NPrompt", 0),
+        max_output_tokens=whole(fields, "NMax", 0),
         session=text_of(fields, "Talk"),
-        beginning=text_of(fields, "SystemPrompt"),
-        beginning_len=whole(fields, "PrefixLen", 0),
+        prefix_id=text_of(fields, "SystemPrompt"),
+        prefix_tokens=whole(fields, "PrefixLen", 0),
         expected_time=whole(fields, "Effort", 0),
-        again=flag(fields, "Again"),
+        is_retry=flag(fields, "Again"),
     )
--- a/lifthead/state.py
+++ b/lifthead/state.py
@@ -1,4 +1,4 @@
-"""Records that the decision module keeps, and the mechanics of its histograms. Nothing here decides."""
+"""Records that the decision module keeps between events, and its histograms. No decision is made here."""
 
 from dataclasses import dataclass, field
 from itertools import accumulate
@@ -7,59 +7,59 @@
 
 
 class Histogram:
-    """Counts in a few bins, each twice as wide as the one before; all halved once `keep` values are in."""
+    """Counts in a few bins, each twice as wide as the one before. At `halve_at` values all are halved."""
 
-    def __init__(self, first: int, bins: int, keep: int) -> None:
-        self._first = first
+    def __init__(self, first_width: int, bins: int, halve_at: int) -> None:
+        self._first_width = first_width
         self._counts = [0.0] * bins
-        self._keep = keep
+        self._halve_at = halve_at
         self.total = 0.0
 
     def add(self, value: float) -> None:
-        scaled = int(value) // self._first
-        self._counts[min(scaled.bit_length(), len(self._counts) - 1)] += 1
+        widths = int(value) // self._first_width
+        self._counts[min(widths.bit_length(), len(self._counts) - 1)] += 1
         self.total += 1
-        if self.total >= self._keep:
+        if self.total >= self._halve_at:
             self.halve()
 
     def halve(self) -> None:
         self._counts = [count / 2 for count in self._counts]
         self.total /= 2
 
-    def quantile(self, part: float) -> int:
-        """The value below which this part of the counts lies, by straight lines inside bins; 0 if empty."""
+    def quantile(self, fraction: float) -> int:
+        """The value below which this fraction of the counts lies, interpolated within its bin; 0 if empty."""
         if not self.total:
             return 0
-        left = part * self.total
+        remaining = fraction * self.total
         for index, count in enumerate(self._counts):
-            if count and left <= count:
-                low = 0 if index == 0 else self._first << (index - 1)
-                high = self._first << index
-                return int(low + (high - low) * left / count)
-            left -= count
-        return self._first << (len(self._counts) - 1)
+            if count and remaining <= count:
+                low = 0 if index == 0 else self._first_width << (index - 1)
+                high = self._first_width << index
+                return int(low + (high - low) * remaining / count)
+            remaining -= count
+        return self._first_width << (len(self._counts) - 1)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request, from its sending to its ending."""
+    """One attempt of a request, from when it is sent until it ends."""
 
     request_id: int
     number: int
     engine: "Engine"
     sent_at: int
-    tokens: int  # what it weighs at a writer
-    unread: int  # prompt tokens that it brings to be read
-    backlog: int  # tokens that were to be read at the engine, so far as was known, its own included
-    reading: bool  # at a reader
-    may_repeat: bool  # the request is not one that must never run twice
-    target: int  # the request's response target
-    told: bool = False  # the engine's own word was part of that backlog
-    written_off: bool = False  # lost, or at an engine that was found silent
-    reused: bool = False  # it went out on a connection that was used before
-    overdue_at: int = 1 << 62  # a decode call that has brought nothing by then may be given up
-    begun: bool = False
-    first_took: int = 0  # from the sending to the end of the read or the first token
+    reserved_tokens: int  # KV memory that it needs at a decode engine: prompt plus allowed output
+    uncached_tokens: int  # prompt tokens that the engine is expected to have to prefill
+    prefill_backlog: int  # tokens known to wait for prefill at the engine when it was sent, its own included
+    is_prefill: bool  # at a prefill engine
+    repeatable: bool  # the request is not a non-idempotent one
+    ttft_target: int
+    backlog_reported: bool = False  # the engine's own load report is part of that backlog
+    presumed_lost: bool = False  # given up as lost, or sent to an engine that then fell silent
+    on_reused_connection: bool = False
+    overdue_at: int = 1 << 62  # a decode call without a response by then may be given up
+    has_responded: bool = False
+    first_response_time: int = 0  # from sending to the end of the prefill or the first token
 
 
 @dataclass(slots=True, eq=False)
@@ -70,61 +70,61 @@
     up_since: int
     zone: str = ""
     cell: int = 0
-    role: str = ""  # "read", "write", "both"; "": none that the settings name
+    role: str = ""  # "read" (prefill), "write" (decode), "both" (mixed); "": a kind without a setting
     weight: float = 1.0
     memory: int = 0
     ready: bool = False
-    gone: bool = False  # for good, so far as the list tells
-    tokens: int = 0  # of this router's attempts: prompt plus allowed output
-    unread: int = 0  # of this router's attempts: prompt tokens not known to be read
-    out: dict[tuple[int, int], Attempt] = field(default_factory=dict)  # no first answer yet
+    gone: bool = False  # the list of engines says that it will not come back
+    reserved_tokens: int = 0  # of this router's attempts
+    pending_prefill_tokens: int = 0  # of this router's attempts that have not responded yet
+    unanswered: dict[tuple[int, int], Attempt] = field(default_factory=dict)  # oldest first
     report: LoadReport | None = None
     report_at: int = 0
-    tokens_then: int = 0  # this router's own when the report came
-    unread_then: int = 0
+    reserved_tokens_at_report: int = 0  # this router's own when the report came
+    pending_prefill_at_report: int = 0
     heard_at: int = 0
     probed_at: int = 0
-    cold_until: int = 0
-    cold_at: int = 0  # when the credit below was counted
-    cold_credit: float = 0.0  # attempts that this router may send while it is cold
-    kept: dict[str, int] = field(default_factory=dict)  # tokens of a session or beginning, latest last
-    strikes: int = 0
-    barred: dict[str, int] = field(default_factory=dict)  # endpoint groups that it turned away, until when
-    failures: int = 0  # errors, and connections to it that failed, since its last first answer
-    away: bool = False  # it could not be reached, or was silent, since its last first answer
-    trial_at: int = 0  # while suspect: when the next trial may go
+    slow_start_until: int = 0
+    slow_start_credit_at: int = 0  # when the credit was last brought up to date
+    slow_start_credit: float = 0.0  # attempts that this router may send during slow start
+    cached_prefixes: dict[str, int] = field(default_factory=dict)  # tokens by session or prefix, latest last
+    ejections: int = 0  # in a row; above 0 the engine is ejected, and the time to the next trial grows
+    backoff_until: dict[str, int] = field(default_factory=dict)  # by request class that it rejected
+    consecutive_failures: int = 0  # errors and failed connections since its last response
+    was_unreachable: bool = False  # unreachable or silent since its last response
+    next_trial_at: int = 0  # when an ejected engine gets its next half-open trial
 
-    def kept_of(self, *keys: str) -> int:
-        """Tokens of the longest text that it keeps of these."""
-        return max(self.kept.get(key, 0) for key in keys)
+    def longest_cached_prefix(self, *keys: str) -> int:
+        """Tokens of the longest prefix that it caches under one of these keys."""
+        return max(self.cached_prefixes.get(key, 0) for key in keys)
 
 
-class Pool:
-    """Engines that are drawn from by weight, with the sums that make a draw cheap however many there are."""
+class WeightedPool:
+    """Engines to be drawn by weight; with cumulative weights a draw is cheap in a pool of any size."""
 
     def __init__(self, engines: list[Engine]) -> None:
         self.engines = engines
-        self.sums = list(accumulate(engine.weight for engine in engines))
+        self.cumulative_weights = list(accumulate(engine.weight for engine in engines))
 
 
 class PrefixHolders:
-    """Which engines keep a text, by its key: each engine's `kept` the other way round."""
+    """The engines that cache a prefix, by its key: the inverse of each engine's `cached_prefixes`."""
 
     def __init__(self) -> None:
-        self._of: dict[str, dict[Engine, None]] = {}
-
-    def of(self, *keys: str) -> list[Engine]:
-        """Engines that keep one of these, each once."""
-        return list({engine: None for key in keys if key for engine in self._of.get(key, ())})
-
-    def put(self, engine: Engine, key: str, length: int) -> None:
-        """The engine has read so many tokens of it, as its latest."""
-        engine.kept.pop(key, None)
-        engine.kept[key] = length
-        self._of.setdefault(key, {})[engine] = None
-
-    def drop(self, engine: Engine, key: str) -> None:
-        del engine.kept[key]
-        self._of[key].pop(engine, None)
-        if not self._of[key]:
-            del self._of[key]
+        self._holders: dict[str, dict[Engine, None]] = {}
+
+    def holders_of(self, *keys: str) -> list[Engine]:
+        """Engines that cache one of these, each once."""
+        return list({engine: None for key in keys if key for engine in self._holders.get(key, ())})
+
+    def add(self, engine: Engine, key: str, length: int) -> None:
+        """The engine caches so many tokens under the key, as its latest."""
+        engine.cached_prefixes.pop(key, None)
+        engine.cached_prefixes[key] = length
+        self._holders.setdefault(key, {})[engine] = None
+
+    def remove(self, engine: Engine, key: str) -> None:
+        del engine.cached_prefixes[key]
+        self._holders[key].pop(engine, None)
+        if not self._holders[key]:
+            del self._holders[key]
--- a/lifthead/terms.py
+++ b/lifthead/terms.py
@@ -8,9 +8,13 @@
 import math
 from typing import Any
 
-from lifthead.interface import Deployment, Effect, EndpointGroup, Tenant
+from lifthead.interface import Deployment, Idempotency, RequestClass, Tenant
 
-EFFECTS = {"safe": Effect.REPLAYABLE, "keyed": Effect.KEYED, "unsafe": Effect.NON_REPLAYABLE}
+EFFECTS = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.WITH_KEY,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
 ROLES = {role: role for role in ("read", "write", "both")}
 WITHIN = {place: place for place in ("all", "zone", "cell")}
 ON_PROBE = {"inline": False, "on_probe": True, "off": False}  # how load reports come
@@ -95,16 +99,16 @@
     for index in range(whole(env, "Grades.count")):
         at = f"Grades.{index}."
         name = required(env, at + "Name")
-        groups[name] = EndpointGroup(
+        groups[name] = RequestClass(
             name=name,
-            effect=named(EFFECTS, env, at + "Effect"),
-            keyed_within=named(WITHIN, env, at + "Group", "all"),
-            keyed_for=whole(env, at + "KeyTtl", 0),
-            target=whole(env, at + "Target", 0),
-            target_per_1000=nth(per_1000, index, "AimUsPer1000PromptTokens"),
+            idempotency=named(EFFECTS, env, at + "Effect"),
+            key_scope=named(WITHIN, env, at + "Group", "all"),
+            key_ttl=whole(env, at + "KeyTtl", 0),
+            ttft_target=whole(env, at + "Target", 0),
+            ttft_target_per_1000=nth(per_1000, index, "AimUsPer1000PromptTokens"),
             deadline=whole(env, at + "Deadline", 0),
-            token_target=nth(token, index, "TokenAim"),
-            importance=real(env, at + "Worth", 1.0),
+            tpot_target=nth(token, index, "TokenAim"),
+            weight=real(env, at + "Worth", 1.0),
             late_share=real(env, at + "LateWorth", 0.0),
         )
     tenants = {}
@@ -123,22 +127,22 @@
         routers=max(1, whole(env, "ReplicasOfMe", 1)),
         tick=whole(env, "Tick", 0),
         seed=whole(env, "Nonce64", 0),
-        groups=groups,
+        request_classes=groups,
         tenants=tenants,
-        roles={kind: named(ROLES, {at: role}, at) for kind, role in zip(kinds, roles, strict=True)},
-        memory={kind: nth(memory, index, "KvTokens") for index, kind in enumerate(kinds)},
-        writers_read=flag(env, "FamilyInfo.LocalRead"),
-        let_go_by=whole(env, "FamilyInfo.LetGoBy", 0),
-        cold_share=real(env, "Rules.ColdShare", 1.0),
-        warm_within=whole(env, "Rules.WarmWithin", 0),
-        tip_multiple=real(env, "Rules.TipMultiple", 1.0),
-        overload_for=whole(env, "Rules.OverloadFor", 0),
-        max_forwards=whole(env, "PolicyLimits.MaxAttempts", 1),
+        role_by_kind={kind: named(ROLES, {at: role}, at) for kind, role in zip(kinds, roles, strict=True)},
+        memory_by_kind={kind: nth(memory, index, "KvTokens") for index, kind in enumerate(kinds)},
+        decode_engines_prefill=flag(env, "FamilyInfo.LocalRead"),
+        lease_duration=whole(env, "FamilyInfo.LetGoBy", 0),
+        slow_start_share=real(env, "Rules.ColdShare", 1.0),
+        slow_start_duration=whole(env, "Rules.WarmWithin", 0),
+        overload_multiple=real(env, "Rules.TipMultiple", 1.0),
+        overload_window=whole(env, "Rules.OverloadFor", 0),
+        max_attempts=whole(env, "PolicyLimits.MaxAttempts", 1),
         may_cancel=flag(env, "PolicyLimits.Cancel"),
         may_probe=flag(env, "PolicyLimits.Probes"),
-        may_hold_off=flag(env, "PolicyLimits.RetryAfter"),
-        max_hold_off=whole(env, "PolicyLimits.MaxRetryAfter", 0),
+        may_send_retry_after=flag(env, "PolicyLimits.RetryAfter"),
+        max_retry_after=whole(env, "PolicyLimits.MaxRetryAfter", 0),
         reports_on_probe=named(ON_PROBE, env, "LoadInfo.Via", "off"),
-        must_ask=named(MUST_ASK, env, "MembershipMode", "pushed"),
-        ask_within=whole(env, "Rules.MustAskIn", 0),
+        list_on_request=named(MUST_ASK, env, "MembershipMode", "pushed"),
+        list_requested_within=whole(env, "Rules.MustAskIn", 0),
     )
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,11 +8,13 @@
 import pytest
 from helpers import DEPLOYMENT, Bench, entry
 
-from lifthead.interface import Ending
+from lifthead.interface import AttemptOutcome
 
-WINDOW = DEPLOYMENT.overload_for
+WINDOW = DEPLOYMENT.overload_window
 WARM_CAPACITY = 40  # requests that a warm engine can do in a window
-BUDGET = DEPLOYMENT.cold_share * DEPLOYMENT.tip_multiple * WARM_CAPACITY  # of the cold engine, in a window
+BUDGET = (
+    DEPLOYMENT.slow_start_share * DEPLOYMENT.overload_multiple * WARM_CAPACITY
+)  # of the cold engine, in a window
 CHANCE = 2 * BUDGET**0.5 + 2
 ENGINES = 6
 BEFORE, COLD = 6, 5  # windows until the start, and windows that the engine is cold
@@ -41,7 +43,7 @@
         self.entries = [entry for entry in self.entries if entry.engine not in new] + list(entries)
         for bench in self.benches:
             bench.clock = self.clock
-            bench.router.on_engines(list(entries), whole_list=False)
+            bench.router.on_engine_list(list(entries), whole_list=False)
 
     def restart(self, part):
         for n in self.chance.sample(range(self.routers), int(self.routers * part)):
@@ -75,12 +77,12 @@
             if bench in self.benches:
                 self._to_now(bench)
                 bench.begin(request)
-                bench.end(request, Ending.DONE)
+                bench.end(request, AttemptOutcome.COMPLETED)
 
     def _to_now(self, bench):
         while bench.next_wake <= self.clock:
             bench.clock = bench.next_wake
-            bench.router.on_wake(1)
+            bench.router.on_timer(1)
             bench.next_wake += WINDOW
         bench.clock = self.clock
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,12 +5,17 @@
 
 from lifthead import control
 from lifthead.control import LEASE
-from lifthead.interface import Ending
+from lifthead.interface import AttemptOutcome
 
 CELL = [entry("R1"), entry("R2"), entry("W1"), entry("W2")]
 TWO_ZONES = [*CELL, entry("R3", "b", 1), entry("R4", "b", 1), entry("W3", "b", 1), entry("W4", "b", 1)]
-NOT_RUN = [Ending.BUSY, Ending.UNREACHABLE, Ending.NOT_SENT]
-MAY_HAVE_RUN = [Ending.ERROR, Ending.TIMED_OUT, Ending.BROKEN, Ending.CANCELLED]
+NOT_RUN = [AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT]
+MAY_HAVE_RUN = [
+    AttemptOutcome.ERROR,
+    AttemptOutcome.TIMED_OUT,
+    AttemptOutcome.CONNECTION_LOST,
+    AttemptOutcome.CANCELLED,
+]
 
 
 # The ordinary path.
@@ -27,7 +32,7 @@
 @pytest.mark.parametrize("kind", ["B", "R"])
 def test_short_prompts_where_writers_cannot_read(kind):
     engines = [entry("W1"), entry("R1")] + ([entry("B1")] if kind == "B" else [])
-    bench = Bench(*engines, writers_read=False)
+    bench = Bench(*engines, decode_engines_prefill=False)
     assert bench.last(bench.req(100))[0] == kind
 
 
@@ -36,7 +41,7 @@
     bench = Bench(*TWO_ZONES)
     first = bench.last(bench.serve(beginning=beginning, session=session)) and bench.sent[1][0]
     other = next(name for name in ("R1", "R2") if name != first)
-    bench.router.on_engines([entry(other, readiness="gone")], whole_list=False)
+    bench.router.on_engine_list([entry(other, readiness="gone")], whole_list=False)
     assert bench.sent[bench.serve(beginning=beginning, session=session)][0] == first
 
 
@@ -64,7 +69,7 @@
     drawn = [bench.req(6000, session=key, beginning="") for key in keys]
     drawn = [req_id for req_id in drawn if bench.last(req_id) == "R1"]
     for req_id in drawn:
-        bench.end(req_id, Ending.READ)
+        bench.end(req_id, AttemptOutcome.PREFILLED)
     carried = [sum(bench.last(req_id) == name for req_id in drawn) for name in ("W1", "W2")]
     assert carried[0] > carried[1] > 0
 
@@ -91,19 +96,19 @@
     bench = Bench(entry("R1"), entry("W1"))
     bench.req(100)
     bench.begin(1)
-    bench.end(1, Ending.DONE, report=report(**said))
+    bench.end(1, AttemptOutcome.COMPLETED, report=report(**said))
     assert bench.last(bench.req(100))[0] == "R"
 
 
 @pytest.mark.parametrize(("found", "unread"), [(5000, 1), (0, 6000)])
 def test_kept_text_is_not_counted_as_unread_until_it_is_found_lost(found, unread):
     bench = Bench(entry("R1"), entry("W1"))
-    bench.end(bench.req(5000), Ending.READ)
-    bench.end(bench.req(5000), Ending.READ, note=found)
-    bench.router.engines["R1"].kept.update({} if found else {"s": 0})
-    assert bench.router.engines["R1"].unread == 0
+    bench.end(bench.req(5000), AttemptOutcome.PREFILLED)
+    bench.end(bench.req(5000), AttemptOutcome.PREFILLED, note=found)
+    bench.router.engines["R1"].cached_prefixes.update({} if found else {"s": 0})
+    assert bench.router.engines["R1"].pending_prefill_tokens == 0
     bench.req(5001 if found else 6000)
-    assert bench.router.engines["R1"].unread == unread
+    assert bench.router.engines["R1"].pending_prefill_tokens == unread
 
 
 def test_a_hot_beginning_spreads_to_the_next_reader():
@@ -115,7 +120,7 @@
     bench = Bench(*TWO_ZONES)
     for number in range(60):
         req_id = bench.req(6000, session=str(number), beginning="")
-        bench.end(req_id, Ending.READ)
+        bench.end(req_id, AttemptOutcome.PREFILLED)
         bench.begin(req_id)
     assert bench.sent[1][0] in ("R1", "R2")
     assert any(sent[1] in ("W3", "W4") for sent in bench.sent.values())
@@ -124,8 +129,8 @@
 def test_a_drowned_reader_leaves_prompts_to_a_mixed_server():
     bench = Bench(entry("R1"), entry("W1"), entry("B1"))
     for n in range(control.ENOUGH):
-        bench.end(bench.req(6000, session=f"x{n}", beginning=""), Ending.READ, took=600_000)
-    bench.router.engines["B1"].kept.update({str(n): 5000 for n in range(3)})
+        bench.end(bench.req(6000, session=f"x{n}", beginning=""), AttemptOutcome.PREFILLED, took=600_000)
+    bench.router.engines["B1"].cached_prefixes.update({str(n): 5000 for n in range(3)})
     lasts = [bench.last(bench.req(6000, session=str(n), beginning="")) for n in range(6)]
     assert "B1" in lasts[:3] and "B1" not in lasts[3:]  # it stands in where little is left to read
 
@@ -133,16 +138,16 @@
 def test_what_cannot_be_in_time_is_pushed_back_at_once():
     bench = Bench(entry("R1"), entry("W1"))
     for n in range(control.ENOUGH):
-        bench.end(bench.req(6000, session=f"x{n}", beginning=""), Ending.READ, took=800_000)
+        bench.end(bench.req(6000, session=f"x{n}", beginning=""), AttemptOutcome.PREFILLED, took=800_000)
     late = [bench.req(6000, session=str(n), beginning="") for n in range(6)][-1]
-    assert bench.answers(late) == ["push_back"] and not bench.sent.get(late)
+    assert bench.answers(late) == ["reject"] and not bench.sent.get(late)
 
 
 @pytest.mark.parametrize(("budget", "taken"), [(400_000, False), (8_000_000, True)])
 def test_a_client_that_will_not_wait_for_the_read_is_told_at_once(budget, taken):
     bench = Bench(entry("R1"), entry("W1"))
     for n in range(control.ENOUGH):
-        bench.end(bench.req(6000, session=f"x{n}", beginning=""), Ending.READ, took=500_000)
+        bench.end(bench.req(6000, session=f"x{n}", beginning=""), AttemptOutcome.PREFILLED, took=500_000)
     req_id = bench.req(6000, session="y", beginning="", budget=budget)
     assert bool(bench.sent.get(req_id)) == taken
 
@@ -151,7 +156,7 @@
 def test_what_is_beyond_a_tenants_share_goes_first_under_load(tenant, taken):
     bench = Bench(entry("R1"), entry("W1"))
     for n in range(control.ENOUGH):
-        bench.end(bench.req(6000, session=f"x{n}", beginning=""), Ending.READ, took=500_000)
+        bench.end(bench.req(6000, session=f"x{n}", beginning=""), AttemptOutcome.PREFILLED, took=500_000)
     for n in range(8):
         bench.serve(10, session=f"y{n}", tenant=tenant)
     assert bool(bench.sent.get(bench.req(9000, session="z", beginning="", tenant=tenant))) == taken
@@ -165,43 +170,46 @@
 def test_the_budget_ends_with_one_answer_and_nothing_after(state, group):
     bench = Bench(*CELL)
     req_id = bench.req(group=group, budget=3_000_000)
-    wake = next(call for call in bench.calls("wake") if call[2] >> 2 == req_id)
+    wake = next(call for call in bench.calls("set_timer") if call[2] >> 2 == req_id)
     assert wake[1] < 3_000_000
     if state != "reading":
-        bench.end(req_id, Ending.READ)
+        bench.end(req_id, AttemptOutcome.PREFILLED)
     bench.clock += wake[1]
-    bench.router.on_wake(wake[2])
-    assert bench.answers(req_id) == ["abort"] and ("free_state", req_id) in bench.did
+    bench.router.on_timer(wake[2])
+    assert bench.answers(req_id) == ["fail"] and ("release_state", req_id) in bench.did
     forwards = len(bench.sent[req_id])
-    for ending in (Ending.CANCELLED, Ending.CANCELLED):  # a second ending is not expected, and harmless
+    for ending in (
+        AttemptOutcome.CANCELLED,
+        AttemptOutcome.CANCELLED,
+    ):  # a second ending is not expected, and harmless
         bench.end(req_id, ending)
-    bench.router.on_wake(wake[2])
-    bench.router.on_expired(req_id)
-    assert bench.answers(req_id) == ["abort"] and len(bench.sent[req_id]) == forwards
+    bench.router.on_timer(wake[2])
+    bench.router.on_client_left(req_id)
+    assert bench.answers(req_id) == ["fail"] and len(bench.sent[req_id]) == forwards
 
 
 def refuses_all(bench, group):
     req_id = bench.req(6000, group=group)
     while not bench.answers(req_id):
-        bench.end(req_id, Ending.BUSY)
+        bench.end(req_id, AttemptOutcome.REJECTED)
     return req_id
 
 
 def no_engine(bench, group):
-    bench.router.on_engines([], whole_list=True)
+    bench.router.on_engine_list([], whole_list=True)
     return bench.req(6000, group=group)
 
 
 def loses_its_answer(bench, group):
     req_id = bench.req(100, group=group)
-    bench.end(req_id, Ending.BROKEN)
+    bench.end(req_id, AttemptOutcome.CONNECTION_LOST)
     return req_id
 
 
 def loses_every_answer(bench, group):
     req_id = bench.req(100, group=group)
     while not bench.answers(req_id):
-        bench.end(req_id, Ending.BROKEN)
+        bench.end(req_id, AttemptOutcome.CONNECTION_LOST)
     return req_id
 
 
@@ -209,23 +217,23 @@
 @pytest.mark.parametrize(
     ("comes_to_it", "group", "answer"),
     [
-        (refuses_all, "chat", "push_back"),
-        (refuses_all, "pay", "push_back"),
-        (refuses_all, "mark", "push_back"),
-        (no_engine, "chat", "push_back"),
-        (no_engine, "pay", "push_back"),
-        (loses_its_answer, "pay", "abort"),
-        (loses_every_answer, "chat", "push_back"),
-        (loses_every_answer, "mark", "abort"),
+        (refuses_all, "chat", "reject"),
+        (refuses_all, "pay", "reject"),
+        (refuses_all, "mark", "reject"),
+        (no_engine, "chat", "reject"),
+        (no_engine, "pay", "reject"),
+        (loses_its_answer, "pay", "fail"),
+        (loses_every_answer, "chat", "reject"),
+        (loses_every_answer, "mark", "fail"),
     ],
 )
 def test_what_is_given_up_is_answered_in_the_same_turn(comes_to_it, group, answer, hold_off):
     """Nothing holds a final answer back so that its client won't ask again. Where the settings allow it, a
     pushback names a time to come back."""
-    bench = Bench(*CELL, may_hold_off=hold_off > 0, max_hold_off=hold_off)
+    bench = Bench(*CELL, may_send_retry_after=hold_off > 0, max_retry_after=hold_off)
     began, req_id = bench.clock, comes_to_it(bench, group)
     assert bench.answers(req_id) == [answer] and bench.clock == began
-    for _, _, named in bench.calls("push_back"):
+    for _, _, named in bench.calls("reject"):
         assert hold_off // 2 <= named <= hold_off
 
 
@@ -234,18 +242,20 @@
     req_id = bench.req(100)
     bench.begin(req_id)
     bench.clock += 9_000_000
-    bench.router.on_wake(req_id << 2)
+    bench.router.on_timer(req_id << 2)
     assert bench.answers(req_id) == []
-    assert sum(engine.tokens for engine in bench.router.engines.values()) > 0
-    bench.end(req_id, Ending.BROKEN, final=True)
-    assert not bench.router.requests and not any(engine.tokens for engine in bench.router.engines.values())
+    assert sum(engine.reserved_tokens for engine in bench.router.engines.values()) > 0
+    bench.end(req_id, AttemptOutcome.CONNECTION_LOST, final=True)
+    assert not bench.router.requests and not any(
+        engine.reserved_tokens for engine in bench.router.engines.values()
+    )
 
 
 def test_a_client_that_left_gets_nothing_more():
     bench = Bench(*CELL)
     req_id = bench.req()
-    bench.router.on_expired(req_id)
-    bench.end(req_id, Ending.READ)
+    bench.router.on_client_left(req_id)
+    bench.end(req_id, AttemptOutcome.PREFILLED)
     assert len(bench.sent[req_id]) == 1 and bench.answers(req_id) == [] and not bench.router.requests
 
 
@@ -254,8 +264,8 @@
     bench = Bench(entry("R1"), entry("W1"))
     req_id = bench.req(prompt)
     if bench.sent.get(req_id):
-        bench.end(req_id, Ending.READ)
-    assert bench.answers(req_id) == ["push_back"]
+        bench.end(req_id, AttemptOutcome.PREFILLED)
+    assert bench.answers(req_id) == ["reject"]
 
 
 # Rule 2: no effect twice.
@@ -268,7 +278,7 @@
     req_id = bench.req(100, group=group)
     bench.end(req_id, ending)
     if group == "pay" and ending in MAY_HAVE_RUN:
-        assert bench.answers(req_id) == ["abort"] and len(bench.sent[req_id]) == 1
+        assert bench.answers(req_id) == ["fail"] and len(bench.sent[req_id]) == 1
     else:
         assert bench.answers(req_id) == [] and len(bench.sent[req_id]) == 2
 
@@ -287,10 +297,10 @@
     req_id = bench.req(100, group="mark")
     for _ in range(3):
         bench.clock += later
-        bench.end(req_id, Ending.ERROR)
+        bench.end(req_id, AttemptOutcome.ERROR)
         later = 1
     assert set(bench.sent[req_id]) == ({"W1", "W2"} if allowed else {bench.sent[req_id][0]})
-    assert bench.answers(req_id) == ["abort"]
+    assert bench.answers(req_id) == ["fail"]
 
 
 # Rule 3: drains.
@@ -302,9 +312,9 @@
     bench = Bench(*CELL)
     if news == "left out":
         rest = [e for e in CELL if e.engine != engine]
-        bench.router.on_engines(rest, whole_list=True)
+        bench.router.on_engine_list(rest, whole_list=True)
     else:
-        bench.router.on_engines([entry(engine, readiness=news)], whole_list=False)
+        bench.router.on_engine_list([entry(engine, readiness=news)], whole_list=False)
     for number in range(20):
         bench.serve(100 if number % 2 else 6000, beginning=str(number))
     assert engine not in {name for sent in bench.sent.values() for name in sent}
@@ -319,7 +329,7 @@
         bench.serve(100)
         bench.pass_time(100_000)
     bench.sent.clear()
-    bench.router.on_engines([entry("W1", up_since=bench.clock)], whole_list=False)
+    bench.router.on_engine_list([entry("W1", up_since=bench.clock)], whole_list=False)
     for _ in range(20):  # one window
         bench.serve(100)
         bench.pass_time(100_000)
@@ -332,16 +342,16 @@
     bench = Bench(entry("R1"), entry("W1", up_since=99_000_000))
     bench.clock += 4_000_000
     req_id = bench.req()
-    bench.end(req_id, Ending.READ)
+    bench.end(req_id, AttemptOutcome.PREFILLED)
     bench.begin(req_id)
-    bench.end(req_id, Ending.DONE, report=report(queued=queued))
+    bench.end(req_id, AttemptOutcome.COMPLETED, report=report(queued=queued))
     bench.clock += 1_000_000
     later = bench.req(100)
     assert bench.answers(later) == [] and bench.last(later) == "R1"
     bench.clock += 300_000
-    bench.router.on_engines([entry("R1", readiness="gone")], whole_list=False)
+    bench.router.on_engine_list([entry("R1", readiness="gone")], whole_list=False)
     bench.clock += 900_000 if not queued else 100_000
-    assert bench.answers(bench.req(100)) == (["push_back"] if queued else [])
+    assert bench.answers(bench.req(100)) == (["reject"] if queued else [])
 
 
 # Rule 5: nothing left pinned.
@@ -351,10 +361,10 @@
 def test_a_state_that_no_writer_takes_is_let_go(writers):
     bench = Bench(entry("R1"), *map(entry, writers))
     req_id = bench.req()
-    bench.end(req_id, Ending.READ)
+    bench.end(req_id, AttemptOutcome.PREFILLED)
     if writers:
-        bench.end(req_id, Ending.BUSY)
-    assert ("free_state", req_id) in bench.did and bench.answers(req_id) == ["push_back"]
+        bench.end(req_id, AttemptOutcome.REJECTED)
+    assert ("release_state", req_id) in bench.did and bench.answers(req_id) == ["reject"]
 
 
 @pytest.mark.parametrize(
@@ -363,34 +373,34 @@
 def test_a_state_is_not_held_through_one_connection_after_another_that_does_not_come_up(took, kept):
     bench = Bench(entry("R1"), *(entry(f"W{n}") for n in range(5)))
     req = bench.req(5000)
-    bench.end(req, Ending.READ)
+    bench.end(req, AttemptOutcome.PREFILLED)
     bench.clock += took
-    bench.end(req, Ending.UNREACHABLE, took=took)
-    assert (bench.calls("free_state") == []) == kept
+    bench.end(req, AttemptOutcome.UNREACHABLE, took=took)
+    assert (bench.calls("release_state") == []) == kept
     assert bench.last(req)[0] == ("W" if kept else "R")
     if not kept:  # read anew, and fetched from there
-        bench.end(req, Ending.READ)
+        bench.end(req, AttemptOutcome.PREFILLED)
         assert bench.last(req)[0] == "W" and len(set(bench.sent[req])) == 3
 
 
 def test_a_state_is_held_for_its_time_from_the_last_word_of_a_writer():
     bench = Bench(entry("R1"), *(entry(f"W{n}") for n in range(5)))
     req = bench.req(5000)
-    bench.end(req, Ending.READ)
+    bench.end(req, AttemptOutcome.PREFILLED)
     bench.clock += 800_000
-    bench.end(req, Ending.BUSY, took=800_000)
+    bench.end(req, AttemptOutcome.REJECTED, took=800_000)
     bench.clock += 100_000
-    bench.end(req, Ending.UNREACHABLE, took=100_000)
-    assert bench.calls("free_state") == [] and bench.last(req)[0] == "W"
+    bench.end(req, AttemptOutcome.UNREACHABLE, took=100_000)
+    assert bench.calls("release_state") == [] and bench.last(req)[0] == "W"
 
 
 @pytest.mark.parametrize("prompt", [100, 5000])
 @pytest.mark.parametrize(
     ("endings", "zone"),
     [
-        ([Ending.UNREACHABLE], "a"),
-        ([Ending.UNREACHABLE, Ending.UNREACHABLE], "b"),
-        ([Ending.UNREACHABLE, Ending.BUSY], "a"),
+        ([AttemptOutcome.UNREACHABLE], "a"),
+        ([AttemptOutcome.UNREACHABLE, AttemptOutcome.UNREACHABLE], "b"),
+        ([AttemptOutcome.UNREACHABLE, AttemptOutcome.REJECTED], "a"),
     ],
 )
 def test_a_req_that_could_not_reach_two_engines_of_a_zone_goes_on_to_others(prompt, endings, zone):
@@ -408,15 +418,15 @@
     bench = Bench(*(entry(f"{kind}{n}") for kind in "RW" for n in range(5)))
     req = bench.req(5000)
     for _ in range(3):
-        bench.end(req, Ending.UNREACHABLE, took=1000)
+        bench.end(req, AttemptOutcome.UNREACHABLE, took=1000)
     assert len(set(bench.sent[req])) == 4 and bench.last(req)[0] == "R"
 
 
 def test_a_state_that_is_gone_is_read_anew():
     bench = Bench(*CELL)
     req_id = bench.req()
-    bench.end(req_id, Ending.READ)
-    bench.end(req_id, Ending.BUSY, note=1)
+    bench.end(req_id, AttemptOutcome.PREFILLED)
+    bench.end(req_id, AttemptOutcome.REJECTED, note=1)
     assert [name[0] for name in bench.sent[req_id]] == ["R", "W", "R"]
 
 
@@ -436,10 +446,10 @@
     req_id = bench.req(100, group=group)
     silent = bench.last(req_id)
     bench.pass_time(3_000_000)
-    called_off = ("cancel", req_id, 0) in bench.did
+    called_off = ("cancel_attempt", req_id, 0) in bench.did
     assert called_off == (group == "chat")  # what must not run twice stays and hopes
     if called_off:
-        bench.end(req_id, Ending.CANCELLED)
+        bench.end(req_id, AttemptOutcome.CANCELLED)
         assert bench.last(req_id) not in ("", silent)
     later = {bench.last(bench.req(10, group="pay")) for _ in range(6)}
     assert silent not in later
@@ -450,15 +460,15 @@
     bench = warmed(*CELL)  # answers usually come within 50 ms; the target is 2 s
     bench.req(6000)
     bench.pass_time(waited)
-    assert bool(bench.calls("cancel")) == suspect
+    assert bool(bench.calls("cancel_attempt")) == suspect
 
 
-@pytest.mark.parametrize("ending", [Ending.UNREACHABLE, Ending.BROKEN])
+@pytest.mark.parametrize("ending", [AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST])
 def test_engines_without_connection_are_left_even_when_they_are_most_of_a_role(ending):
     bench = Bench(entry("R1"), entry("R2"), entry("R3"), entry("W1"))
     for name in ("R1", "R2"):
         reqs = (bench.req(6000, beginning=str(n)) for n in range(99))
-        for _ in range(2 if ending is Ending.BROKEN else 1):
+        for _ in range(2 if ending is AttemptOutcome.CONNECTION_LOST else 1):
             bench.end(next(req_id for req_id in reqs if bench.last(req_id) == name), ending)
     assert {bench.last(bench.req(6000, beginning=str(n))) for n in range(12)} == {"R3"}
 
@@ -466,18 +476,18 @@
 def test_one_broken_connection_between_answers_makes_no_suspect():
     bench = warmed(*CELL)
     for number in range(20):
-        bench.end(bench.req(6000, beginning=str(number)), Ending.BROKEN)
-        bench.end(number + 41, Ending.READ)
+        bench.end(bench.req(6000, beginning=str(number)), AttemptOutcome.CONNECTION_LOST)
+        bench.end(number + 41, AttemptOutcome.PREFILLED)
         bench.serve(6000, beginning=str(number))
-    assert not any(engine.strikes for engine in bench.router.engines.values())
+    assert not any(engine.ejections for engine in bench.router.engines.values())
 
 
 def test_what_was_sent_since_a_report_counts_on_top_of_it():
     bench = Bench(entry("R1"), entry("W1"))
-    for ending, said in ((Ending.READ, 9.0), (None, None)):
+    for ending, said in ((AttemptOutcome.PREFILLED, 9.0), (None, None)):
         req_id = bench.req(6000, session=str(said), beginning="")
         if ending:
-            bench.end(req_id, ending, report=report(unread_thousands=said))
+            bench.end(req_id, ending, report=report(prefill_backlog_thousands=said))
             bench.sent[req_id] = ["R1"]
     assert bench.router._backlog(bench.router.engines["R1"]) == 15_000
 
@@ -487,13 +497,13 @@
     for number in range(20):
         bench.req(6000, beginning=str(number), session=str(number))
     bench.pass_time(4_000_000)
-    assert not bench.calls("cancel")
+    assert not bench.calls("cancel_attempt")
 
 
 def test_when_all_of_a_role_look_bad_all_are_used():
     bench = warmed(*CELL)
     for engine in bench.router.engines.values():
-        engine.strikes, engine.trial_at = 1, bench.clock + 9_000_000
+        engine.ejections, engine.next_trial_at = 1, bench.clock + 9_000_000
     assert bench.sent[bench.serve(6000)]
 
 
@@ -506,14 +516,14 @@
     reqs = [bench.req(100, session=str(n)) for n in range(9)]
     taken = [req_id for req_id in reqs if bench.sent.get(req_id)]
     assert 1 <= len(taken) <= 3
-    assert all(bench.answers(req_id) == ["push_back"] for req_id in reqs if req_id not in taken)
+    assert all(bench.answers(req_id) == ["reject"] for req_id in reqs if req_id not in taken)
 
 
 @pytest.mark.parametrize(("age", "engine"), [(0, "R1"), (control.FRESH + 1, "W1")])
 def test_a_report_that_stays_frozen_is_not_believed_for_long(age, engine):
     bench = Bench(entry("R1"), entry("W1"))
     bench.serve(100)
-    bench.router.on_probed("W1", report(queued=5.0, memory_used=1.0))
+    bench.router.on_load_report("W1", report(queued=5.0, memory_used=1.0))
     bench.clock += age
     assert bench.last(bench.req(100)) == engine
 
@@ -523,18 +533,18 @@
     for number in range(12):
         req_id = bench.req(10, session=str(number))
         if bench.last(req_id) == "W1":
-            bench.end(req_id, Ending.BUSY)
+            bench.end(req_id, AttemptOutcome.REJECTED)
         assert bench.last(req_id) in ("W2", "R1") and len(bench.sent[req_id]) <= 2
-        bench.router.on_expired(req_id)
-        bench.end(req_id, Ending.CANCELLED)
+        bench.router.on_client_left(req_id)
+        bench.end(req_id, AttemptOutcome.CANCELLED)
 
 
 def test_an_engine_back_under_its_name_is_cold_and_no_longer_suspect():
     bench = warmed(*CELL)
-    bench.router.engines["W1"].strikes = 5
-    bench.router.on_engines([entry("W1", up_since=bench.clock)], whole_list=False)
+    bench.router.engines["W1"].ejections = 5
+    bench.router.on_engine_list([entry("W1", up_since=bench.clock)], whole_list=False)
     engine = bench.router.engines["W1"]
-    assert not engine.strikes and engine.cold_until > bench.clock
+    assert not engine.ejections and engine.slow_start_until > bench.clock
 
 
 # Many routers, each with little traffic.
@@ -576,9 +586,9 @@
 def test_a_queue_is_set_against_memory_where_reports_tell_no_more():
     bench = Bench(entry("R1"), entry("W1"))
     bench.serve(6000)
-    bench.router.on_probed("W1", report(queued=4.0, slots_used=0.5, memory_used=0.5))
+    bench.router.on_load_report("W1", report(queued=4.0, slots_used=0.5, memory_used=0.5))
     assert 1 < bench.router._pressure(bench.router.engines["W1"]) < 2
-    bench.router.on_probed("R1", report(queued=4.0, slots_used=0.5, memory_used=0.1))
+    bench.router.on_load_report("R1", report(queued=4.0, slots_used=0.5, memory_used=0.1))
     assert bench.router._backlog(bench.router.engines["R1"]) > 4000
 
 
@@ -611,20 +621,22 @@
     bench = Bench(entry("R1"), entry("W1"), entry("W2"))
     for number in range(20):
         if bench.last(bench.req(10, session=str(number))) == "W1":
-            bench.end(number + 1, Ending.BUSY)
+            bench.end(number + 1, AttemptOutcome.REJECTED)
             break
     bench.clock += waited * 1_000_000
     later = {bench.last(bench.serve(10, group=group, session=f"x{n}")) for n in range(20)}
     assert ("W1" in later) == comes
-    bench.router.on_engines([entry("W2", readiness="gone"), entry("R1", readiness="gone")], whole_list=False)
+    bench.router.on_engine_list(
+        [entry("W2", readiness="gone"), entry("R1", readiness="gone")], whole_list=False
+    )
     assert bench.last(bench.req(10)) == "W1"  # better than none
 
 
 def test_a_jam_that_is_over_is_forgotten_though_nothing_new_is_measured():
     bench = Bench(entry("R1"), entry("W1"))
     for n in range(control.ENOUGH):
-        bench.end(bench.req(6000, session=f"x{n}", beginning=""), Ending.READ, took=5_000_000)
-    assert bench.answers(bench.req(6000, session="y", beginning="")) == ["push_back"]
+        bench.end(bench.req(6000, session=f"x{n}", beginning=""), AttemptOutcome.PREFILLED, took=5_000_000)
+    assert bench.answers(bench.req(6000, session="y", beginning="")) == ["reject"]
     bench.pass_time(4 * control.FORGET * bench.router.window)
     later = bench.req(6000, session="z", beginning="")
     assert bench.answers(later) == [] and bench.last(later) == "R1"
@@ -633,23 +645,23 @@
 def test_engines_whose_connections_break_are_suspect_and_come_back_warm():
     bench = Bench(entry("W1"))
     for _ in range(2):
-        bench.end(bench.req(prompt=100), Ending.BROKEN)
+        bench.end(bench.req(prompt=100), AttemptOutcome.CONNECTION_LOST)
     engine = bench.router.engines["W1"]
-    assert engine.strikes == 1 and not engine.away
-    bench.clock = engine.trial_at
+    assert engine.ejections == 1 and not engine.was_unreachable
+    bench.clock = engine.next_trial_at
     req_id = bench.req(prompt=100)
     assert bench.last(req_id) == "W1"
     bench.begin(req_id)
-    assert not engine.strikes and bench.clock >= engine.cold_until
+    assert not engine.ejections and bench.clock >= engine.slow_start_until
 
 
 def test_an_engine_that_could_not_be_reached_comes_back_cold():
     bench = Bench(entry("W1"))
-    bench.end(bench.req(prompt=100), Ending.UNREACHABLE)
+    bench.end(bench.req(prompt=100), AttemptOutcome.UNREACHABLE)
     engine = bench.router.engines["W1"]
-    bench.clock = engine.trial_at
+    bench.clock = engine.next_trial_at
     bench.begin(bench.req(prompt=100))
-    assert not engine.strikes and not engine.away and bench.clock < engine.cold_until
+    assert not engine.ejections and not engine.was_unreachable and bench.clock < engine.slow_start_until
 
 
 def test_an_engine_that_fails_at_once_does_not_draw_more_and_more():
@@ -658,7 +670,7 @@
         req_id = bench.req(prompt=100)
         while bench.last(req_id) == "W1" and not bench.answers(req_id):
             sent = len(bench.sent[req_id])
-            bench.end(req_id, Ending.ERROR, took=1000)
+            bench.end(req_id, AttemptOutcome.ERROR, took=1000)
             if len(bench.sent[req_id]) == sent:
                 break
     assert sum(sent[0] == "W1" for sent in bench.sent.values()) <= 4
@@ -668,20 +680,20 @@
     bench = Bench(entry("R1"), entry("R2"), entry("W1"))
     out = bench.req()
     gone = bench.last(out)
-    bench.router.on_engines([entry(gone, readiness="gone")], whole_list=False)
+    bench.router.on_engine_list([entry(gone, readiness="gone")], whole_list=False)
     bench.pass_time(3_000_000)
     assert gone in bench.router.engines
-    bench.end(out, Ending.READ)
+    bench.end(out, AttemptOutcome.PREFILLED)
     bench.begin(out)
-    bench.end(out, Ending.DONE)
+    bench.end(out, AttemptOutcome.COMPLETED)
     bench.pass_time(3_000_000)
     assert gone not in bench.router.engines
-    assert [engine.name for engine in bench.router.prefix_holders.of("p", "s")] == ["W1"]
-    bench.router.on_probed(gone, report(queued=1))
+    assert [engine.name for engine in bench.router.prefix_holders.holders_of("p", "s")] == ["W1"]
+    bench.router.on_load_report(gone, report(queued=1))
     for number in range(50):
         name = f"R9{number}"
-        bench.router.on_engines([entry(name)], whole_list=False)
-        bench.router.on_engines([entry("R1"), entry("R2"), entry("W1")], whole_list=True)
+        bench.router.on_engine_list([entry(name)], whole_list=False)
+        bench.router.on_engine_list([entry("R1"), entry("R2"), entry("W1")], whole_list=True)
     bench.pass_time(3_000_000)
     assert len(bench.router.engines) == 3
 
@@ -695,50 +707,52 @@
     bench = Bench(*CELL, **ASKED)
     first = bench.sent[bench.serve()][0]
     other = next(name for name in ("R1", "R2") if name != first)
-    bench.router.on_probed(first, None)
+    bench.router.on_load_report(first, None)
     assert bench.sent[bench.serve()][0] == other
-    bench.router.on_probed(first, report(queued=0.0, unread_thousands=0.0))
+    bench.router.on_load_report(first, report(queued=0.0, prefill_backlog_thousands=0.0))
     assert bench.sent[bench.serve()][0] == first
     for name in ("R1", "R2"):
-        bench.router.on_probed(name, None)
+        bench.router.on_load_report(name, None)
     assert bench.sent[bench.serve()][0] == first  # better than none
     bench.clock += control.FRESH
     mine = bench.req()
-    bench.router.on_probed(bench.last(mine), None)  # what this router sent is what it is busy with
+    bench.router.on_load_report(bench.last(mine), None)  # what this router sent is what it is busy with
     assert bench.last(bench.req()) == bench.last(mine) == first
 
 
-def read_all(bench, took, number=12, note=0, ending=Ending.READ, beyond=None):
+def read_all(bench, took, number=12, note=0, ending=AttemptOutcome.PREFILLED, beyond=None):
     """Reads of so many sessions that come here for the first time; those pushed back are left out. `beyond`
     is how long they take at readers of the other zone, if not as long."""
     for n in range(number):
         req_id = bench.req(6000, session=f"x{n}", beginning="")
         if bench.sent.get(req_id):
             there = beyond if beyond and bench.last(req_id) in ("R3", "R4") else took
-            bench.end(req_id, ending, note=note, took=there, final=ending is not Ending.READ)
+            bench.end(req_id, ending, note=note, took=there, final=ending is not AttemptOutcome.PREFILLED)
 
 
 def test_what_waited_unseen_does_not_push_back_once_readers_tell_that_nothing_waits():
     """Every router of a fleet learnt a jam's waits as its readers' pace, and pushed back for half a minute
     what idle readers could have read."""
     bench = Bench(entry("R1"), entry("W1"), **ASKED)
-    idle = report(queued=0.0, unread_thousands=0.0)
+    idle = report(queued=0.0, prefill_backlog_thousands=0.0)
     for n in range(control.ENOUGH):
-        bench.router.on_probed("R1", idle)
-        bench.end(bench.req(6000, session=f"i{n}", beginning=""), Ending.READ, took=500_000)
+        bench.router.on_load_report("R1", idle)
+        bench.end(bench.req(6000, session=f"i{n}", beginning=""), AttemptOutcome.PREFILLED, took=500_000)
     bench.clock += 2 * control.FRESH  # the word is old: what waits there for others is not seen
     read_all(bench, took=5_000_000)
     for _ in range(4 * control.ENOUGH):
-        bench.router.on_probed("R1", idle)
+        bench.router.on_load_report("R1", idle)
     later = bench.req(6000, session="y", beginning="")
     assert bench.answers(later) == [] and bench.last(later) == "R1"
 
 
 def asked(bench, req_id, **waits):
     """The readers that this req asked answer what waits there, in thousands of tokens; None: a lost probe."""
-    for name in sorted(bench.router.requests[req_id].awaits):
+    for name in sorted(bench.router.requests[req_id].awaited_probes):
         told = waits.get(name)
-        bench.router.on_probed(name, None if told is None else report(queued=0.0, unread_thousands=told))
+        bench.router.on_load_report(
+            name, None if told is None else report(queued=0.0, prefill_backlog_thousands=told)
+        )
 
 
 @pytest.mark.parametrize(
@@ -762,7 +776,9 @@
     req = bench.req(6000, session="s", beginning="")
     order = bench.router._order("s", "a") + bench.router._order("s", "b")
     names = dict(zip(("first", "second", "beyond", "unasked"), (e.name for e in order), strict=True))
-    assert not bench.sent.get(req) and bench.router.requests[req].awaits == {e.name for e in order[:3]}
+    assert not bench.sent.get(req) and bench.router.requests[req].awaited_probes == {
+        e.name for e in order[:3]
+    }
     asked(bench, req, **{names.get(name, name): told for name, told in waits.items()})
     assert bench.sent[req] == [names[goes]]
 
@@ -775,7 +791,7 @@
     bench.clock += 2 * control.FRESH
     bench.unanswered = False
     req = bench.req(prompt, session="s", beginning="")
-    assert bool(bench.router.requests[req].awaits) is asks
+    assert bool(bench.router.requests[req].awaited_probes) is asks
     assert bench.sent.get(req, []) == ([] if asks else [first])
 
 
@@ -783,13 +799,13 @@
     bench = Bench(*CELL, **ASKED)
     bench.unanswered = False
     req = bench.req(6000, session="s", beginning="")
-    (wake,) = [call for call in bench.calls("wake") if call[2] & 3 == control.ASKED_LONG]
+    (wake,) = [call for call in bench.calls("set_timer") if call[2] & 3 == control.ASKED_LONG]
     assert not bench.sent.get(req) and wake[1] == control.ASK_FOR
-    bench.router.on_wake(wake[2])
+    bench.router.on_timer(wake[2])
     assert len(bench.sent[req]) == 1
     for name in ("R1", "R2"):
-        bench.router.on_probed(name, report(queued=0.0, unread_thousands=0.0))
-    bench.router.on_wake(wake[2])
+        bench.router.on_load_report(name, report(queued=0.0, prefill_backlog_thousands=0.0))
+    bench.router.on_timer(wake[2])
     assert len(bench.sent[req]) == 1  # the late word starts no second one
     later = bench.req(6000, session="t", beginning="")
     assert bench.sent.get(later)  # their word is fresh: nobody has to be asked
@@ -799,28 +815,28 @@
     bench = Bench(*CELL, **ASKED)
     bench.unanswered = False
     req = bench.req(6000, session="s", beginning="")
-    waits = sorted(bench.router.requests[req].awaits)
-    bench.router.on_expired(req)
+    waits = sorted(bench.router.requests[req].awaited_probes)
+    bench.router.on_client_left(req)
     for name in waits:
-        bench.router.on_probed(name, report(queued=0.0, unread_thousands=0.0))
-    bench.router.on_wake(req << 2 | control.ASKED_LONG)
+        bench.router.on_load_report(name, report(queued=0.0, prefill_backlog_thousands=0.0))
+    bench.router.on_timer(req << 2 | control.ASKED_LONG)
     assert not bench.sent.get(req) and not bench.router.requests and not bench.router.asking
 
 
-@pytest.mark.parametrize("ending", [Ending.READ, Ending.CANCELLED])
+@pytest.mark.parametrize("ending", [AttemptOutcome.PREFILLED, AttemptOutcome.CANCELLED])
 def test_a_jam_that_all_asked_readers_tell_of_is_not_joined(ending):
     """Not by a router that never measured a read either; one that has, goes by its own pace."""
     bench = Bench(entry("R1"), entry("R2"), entry("W1"), may_cancel=False, **ASKED)
     for n in range(control.ENOUGH):
         for name in ("R1", "R2"):
-            bench.router.on_probed(name, report(queued=0.0, unread_thousands=0.0))
-        bench.end(bench.req(6000, session=f"i{n}", beginning=""), Ending.READ, took=500_000)
+            bench.router.on_load_report(name, report(queued=0.0, prefill_backlog_thousands=0.0))
+        bench.end(bench.req(6000, session=f"i{n}", beginning=""), AttemptOutcome.PREFILLED, took=500_000)
     read_all(bench, took=6_000_000, ending=ending)
     bench.clock += 2 * control.FRESH
     bench.unanswered = False
     jam = bench.req(6000, session="y", beginning="")
     asked(bench, jam, R1=90.0, R2=80.0)
-    assert bench.answers(jam) == ["push_back"]
+    assert bench.answers(jam) == ["reject"]
 
 
 def test_a_push_back_asks_the_reader_that_it_gave_up_on():
@@ -828,7 +844,7 @@
     read_all(bench, took=3_000_000)
     bench.clock += control.PROBE_EVERY
     asked = len(bench.calls("probe"))
-    assert bench.answers(bench.req(6000, session="y", beginning="")) == ["push_back"]
+    assert bench.answers(bench.req(6000, session="y", beginning="")) == ["reject"]
     assert ("probe", "R1") in bench.calls("probe")[asked:]
 
 
@@ -845,8 +861,8 @@
     """Readers of the own zone prove their pace while they tell that nothing waits."""
     for n in range(control.ENOUGH):
         for name in ("R1", "R2"):
-            bench.router.on_probed(name, report(queued=0.0, unread_thousands=0.0))
-        bench.end(bench.req(6000, session=f"i{n}", beginning=""), Ending.READ, took=took)
+            bench.router.on_load_report(name, report(queued=0.0, prefill_backlog_thousands=0.0))
+        bench.end(bench.req(6000, session=f"i{n}", beginning=""), AttemptOutcome.PREFILLED, took=took)
     bench.clock += 2 * control.FRESH
 
 
@@ -859,9 +875,9 @@
     away = bench.req(6000, session="y", beginning="")
     asked(bench, away, R1=200.0, R2=200.0, R3=waits_there, R4=waits_there)
     assert (bench.last(away) in ("R3", "R4")) is goes_there
-    assert bench.answers(away) == ([] if goes_there else ["push_back"])
+    assert bench.answers(away) == ([] if goes_there else ["reject"])
     if goes_there:
-        bench.end(away, Ending.READ)
+        bench.end(away, AttemptOutcome.PREFILLED)
         assert bench.last(away) in ("W3", "W4")  # the state stays in its zone
 
 
@@ -870,10 +886,10 @@
     idle_here(bench)
     read_all(bench, took=6_000_000, beyond=300_000)
     for name in ("R3", "R4"):
-        bench.router.on_probed(name, report(queued=0.0, unread_thousands=200.0))
+        bench.router.on_load_report(name, report(queued=0.0, prefill_backlog_thousands=200.0))
     bench.clock += control.PROBE_EVERY
     asked = len(bench.calls("probe"))
-    assert bench.answers(bench.req(6000, session="y", beginning="")) == ["push_back"]
+    assert bench.answers(bench.req(6000, session="y", beginning="")) == ["reject"]
     assert {call[1] for call in bench.calls("probe")[asked:]} & {"R3", "R4"}
 
 
@@ -882,17 +898,17 @@
     """To a router without six reads there, a server that told nothing lately had no wait at all. All routers
     sent their short prompts there: 7 s each, behind 140,000 tokens of others'."""
     bench = Bench(entry("R1"), entry("R2"), entry("W1"), entry("B1"), entry("B2"), **ASKED)
-    full = report(queued=3.0, unread_thousands=0.0)
-    bench.router.on_probed("W1", full)
+    full = report(queued=3.0, prefill_backlog_thousands=0.0)
+    bench.router.on_load_report("W1", full)
     idle_here(bench)
     read_all(bench, took=6_000_000)
     for _ in range(4 * control.ENOUGH):
         for name in ("B1", "B2"):
-            bench.router.on_probed(name, report(queued=0.0, unread_thousands=told))
+            bench.router.on_load_report(name, report(queued=0.0, prefill_backlog_thousands=told))
     bench.clock += ago * control.FRESH
-    bench.router.on_probed("W1", full)
+    bench.router.on_load_report("W1", full)
     for name in ("R1", "R2"):
-        bench.router.on_probed(name, report(queued=0.0, unread_thousands=100.0))
+        bench.router.on_load_report(name, report(queued=0.0, prefill_backlog_thousands=100.0))
     last = bench.last(bench.req(2000, session="y", beginning=""))
     assert (last in ("B1", "B2")) is stands_in
 
@@ -901,11 +917,11 @@
     """Routers that send little each never measured six reads before a jam, and all waits were 0 to them. They
     sent on into readers that told of minutes of work, and every read was called off at its deadline."""
     bench = Bench(entry("R1"), entry("W1"), **ASKED)
-    bench.end(bench.req(6000, session="one", beginning=""), Ending.READ, took=500_000)
-    bench.router.on_probed("R1", report(queued=40.0, unread_thousands=400.0))
+    bench.end(bench.req(6000, session="one", beginning=""), AttemptOutcome.PREFILLED, took=500_000)
+    bench.router.on_load_report("R1", report(queued=40.0, prefill_backlog_thousands=400.0))
     jam = bench.req(6000, session="x", beginning="")
-    assert bench.answers(jam) == ["push_back"] and not bench.sent.get(jam)
-    bench.router.on_probed("R1", report(queued=0.0, unread_thousands=0.0))
+    assert bench.answers(jam) == ["reject"] and not bench.sent.get(jam)
+    bench.router.on_load_report("R1", report(queued=0.0, prefill_backlog_thousands=0.0))
     assert bench.last(bench.req(6000, session="y", beginning="")) == "R1"
 
 
@@ -919,7 +935,7 @@
     reqs = [bench.req(prompt, session=f"s{n}", beginning="") for n in range(40)]
     if prompt > 4096:
         for req in reqs:
-            bench.end(req, Ending.READ)
+            bench.end(req, AttemptOutcome.PREFILLED)
     assert {bench.last(req) for req in reqs} >= {"W1", "W2"}
 
 
@@ -931,17 +947,17 @@
         bench.pass_time(400_000)
     assert {name for sent in bench.sent.values() for name in sent} <= {"R", "W"}
     assert {name for _, name in bench.calls("probe")} == ({"W"} if prompt == 100 else {"R", "W"})
-    bench.router.on_engines([entry("X1", readiness="draining"), entry("X1", readiness="gone")], False)
+    bench.router.on_engine_list([entry("X1", readiness="draining"), entry("X1", readiness="gone")], False)
     bench.serve(prompt)
 
 
 def test_an_engine_back_as_another_kind_is_what_the_list_says():
     bench = Bench(entry("R1"), entry("W1"))
     back = [replace(entry("R1"), kind="W", up_since=5), replace(entry("W1"), kind="R")]
-    bench.router.on_engines(back, False)
+    bench.router.on_engine_list(back, False)
     req = bench.req(5000)
     assert bench.last(req) == "W1"
-    bench.end(req, Ending.READ)
+    bench.end(req, AttemptOutcome.PREFILLED)
     assert bench.last(req) == "R1"
 
 
@@ -952,12 +968,12 @@
     idle_here(bench)
     req_id = bench.req(prompt, session="y", beginning="")
     first = bench.last(req_id)
-    bench.router.on_engines([replace(entry(first), kind="X", up_since=bench.clock)], whole_list=False)
-    bench.router.on_probed(first, report(queued=1.0, unread_thousands=1.0))
+    bench.router.on_engine_list([replace(entry(first), kind="X", up_since=bench.clock)], whole_list=False)
+    bench.router.on_load_report(first, report(queued=1.0, prefill_backlog_thousands=1.0))
     if prompt == 6000:
-        bench.end(req_id, Ending.READ, took=5_000_000)
+        bench.end(req_id, AttemptOutcome.PREFILLED, took=5_000_000)
     bench.begin(req_id)
-    bench.end(req_id, Ending.DONE)
+    bench.end(req_id, AttemptOutcome.COMPLETED)
     assert req_id not in bench.router.requests and bench.answers(req_id) == []
 
 
@@ -969,15 +985,17 @@
 def silent_call(bench, **how):
     """A request whose decode call has been written, and nothing has come back; the engine that it is at."""
     req = bench.req(5000, **how)
-    bench.end(req, Ending.READ)
+    bench.end(req, AttemptOutcome.PREFILLED)
     return req, bench.last(req)
 
 
 def look(bench, after):
     """So many microseconds later the timers of held states and calls ring."""
     bench.clock += after
-    for label in sorted({call[2] for call in bench.calls("wake") if call[2] & 3 == LEASE and call[2] > 3}):
-        bench.router.on_wake(label)
+    for label in sorted(
+        {call[2] for call in bench.calls("set_timer") if call[2] & 3 == LEASE and call[2] > 3}
+    ):
+        bench.router.on_timer(label)
 
 
 def four_writers():
@@ -988,10 +1006,12 @@
     bench = four_writers()
     req, first = silent_call(bench)
     look(bench, LEASE_TIME // 2 - 1000)
-    assert bench.calls("cancel") == []
+    assert bench.calls("cancel_attempt") == []
     look(bench, 1000)
-    assert bench.calls("cancel") == [("cancel", req, 1)] and bench.calls("free_state") == []
-    bench.end(req, Ending.CANCELLED)
+    assert (
+        bench.calls("cancel_attempt") == [("cancel_attempt", req, 1)] and bench.calls("release_state") == []
+    )
+    bench.end(req, AttemptOutcome.CANCELLED)
     assert bench.last(req)[0] == "W" and bench.last(req) != first
 
 
@@ -999,21 +1019,21 @@
     bench = four_writers()
     req, _ = silent_call(bench, group="pay")
     look(bench, LEASE_TIME)
-    assert bench.calls("free_state") == [("free_state", req)]
-    assert bench.calls("cancel") == [] and len(bench.sent[req]) == 2  # it may have run
+    assert bench.calls("release_state") == [("release_state", req)]
+    assert bench.calls("cancel_attempt") == [] and len(bench.sent[req]) == 2  # it may have run
 
 
 @pytest.mark.parametrize(("reused", "given_up"), [(False, False), (True, True)])
 def test_an_engine_that_answered_others_since_is_waited_for_unless_the_connection_rested(reused, given_up):
     bench = four_writers()
     req, at = silent_call(bench)
-    bench.router.on_written(req, 1, reused)
+    bench.router.on_attempt_sent(req, 1, reused)
     bench.clock += 1000
     bench.router.engines[at].heard_at = bench.clock
     look(bench, LEASE_TIME // 2)
-    assert (bench.calls("cancel") != []) == given_up
+    assert (bench.calls("cancel_attempt") != []) == given_up
     look(bench, 4 * LEASE_TIME // 2)  # but not for ever
-    assert bench.calls("cancel")[0] == ("cancel", req, 1)
+    assert bench.calls("cancel_attempt")[0] == ("cancel_attempt", req, 1)
 
 
 def test_the_timers_of_a_decode_call_touch_no_prefill_that_follows_it():
@@ -1023,49 +1043,49 @@
     look(bench, LEASE_TIME // 2)
     bench.clock += LEASE_TIME
     bench.router._release(bench.router.requests[req])
-    bench.end(req, Ending.CANCELLED)
-    assert bench.last(req)[0] == "R" and len(bench.calls("cancel")) == 1
+    bench.end(req, AttemptOutcome.CANCELLED)
+    assert bench.last(req)[0] == "R" and len(bench.calls("cancel_attempt")) == 1
     for engine in bench.router.engines.values():
         engine.heard_at = bench.clock + 1
     look(bench, 2 * LEASE_TIME)
-    assert len(bench.calls("cancel")) == 1
+    assert len(bench.calls("cancel_attempt")) == 1
 
 
 def test_a_call_that_no_other_engine_could_take_is_waited_for():
     bench = Bench(entry("R1"), entry("W1"))
     silent_call(bench)
     look(bench, LEASE_TIME)
-    assert bench.calls("cancel") == []
+    assert bench.calls("cancel_attempt") == []
 
 
 def test_the_last_attempt_is_waited_for_and_read_where_it_is_decoded():
-    bench = Bench(entry("R1"), *(entry(f"W{n}") for n in range(6)), max_forwards=3)
+    bench = Bench(entry("R1"), *(entry(f"W{n}") for n in range(6)), max_attempts=3)
     req, _ = silent_call(bench)
     look(bench, LEASE_TIME // 2)
     look(bench, LEASE_TIME // 2)  # the state is released
-    bench.end(req, Ending.CANCELLED)
+    bench.end(req, AttemptOutcome.CANCELLED)
     assert [engine[0] for engine in bench.sent[req]] == ["R", "W", "W"]
     look(bench, 10 * LEASE_TIME)
-    assert len(bench.calls("cancel")) == 1
+    assert len(bench.calls("cancel_attempt")) == 1
 
 
 def test_an_answer_to_a_call_starts_the_lease_anew_and_a_broken_connection_does_not():
     bench = four_writers()
     req, _ = silent_call(bench)
     bench.clock += 140_000
-    bench.end(req, Ending.BROKEN, took=140_000)
+    bench.end(req, AttemptOutcome.CONNECTION_LOST, took=140_000)
     look(bench, 100_000)
-    assert bench.calls("free_state") == []
-    bench.end(req, Ending.BUSY)
+    assert bench.calls("release_state") == []
+    bench.end(req, AttemptOutcome.REJECTED)
     look(bench, 100_000)
-    assert bench.calls("free_state") == []
+    assert bench.calls("release_state") == []
     look(bench, LEASE_TIME)
-    assert bench.calls("free_state")[0] == ("free_state", req)
+    assert bench.calls("release_state")[0] == ("release_state", req)
 
 
 def test_a_call_whose_answer_is_gathered_has_begun_and_is_not_given_up():
     bench = four_writers()
     req, _ = silent_call(bench)
-    bench.router.on_begun(req, 1, 50_000, streamed=False)
+    bench.router.on_first_token(req, 1, 50_000, streamed=False)
     look(bench, 10 * LEASE_TIME)
-    assert bench.calls("cancel") == [] and bench.calls("free_state") == []
+    assert bench.calls("cancel_attempt") == [] and bench.calls("release_state") == []
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -9,26 +9,26 @@
 from helpers import Bench, entry, report
 
 from lifthead.control import ANEW, FEW, HEAVIER, HEAVIER_BY, HOT_SLACK, HOT_TIMES, rank
-from lifthead.interface import Effect, Ending
+from lifthead.interface import AttemptOutcome, Idempotency
 from lifthead.state import Attempt
 
 
 def usable(router, engines, req):
     """Every engine is asked everything."""
     now = router.host.now()
-    up = [engine for engine in engines if engine.failures <= 1]
-    well = {engine.name for engine in up if not engine.strikes and not router._silent(engine, now)}
+    up = [engine for engine in engines if engine.consecutive_failures <= 1]
+    well = {engine.name for engine in up if not engine.ejections and not router._silent(engine, now)}
     trust_all = len(well) * 2 < len(up)
     allowed = [
         engine
         for engine in engines
-        if engine.name not in req.tried
-        and (not engine.memory or req.prompt <= engine.memory)
+        if engine.name not in req.tried_engines
+        and (not engine.memory or req.prompt_tokens <= engine.memory)
         and router._in_group(engine, req, now)
         and router._cold_room(engine, now)
         and (engine.name in well or router._trial(engine, req, now) or trust_all and engine in up)
     ]
-    return [e for e in allowed if now >= e.barred.get(req.demand.group, 0)] or allowed
+    return [e for e in allowed if now >= e.backoff_until.get(req.spec.request_class, 0)] or allowed
 
 
 def reader(router, req, home):
@@ -36,7 +36,7 @@
     found = usable(router, router.readers, req)
     if not found:
         return None
-    order = sorted(found, key=lambda engine: (engine.zone != home, rank(req.key, engine.name)))
+    order = sorted(found, key=lambda engine: (engine.zone != home, rank(req.affinity_key, engine.name)))
     costs = {e.name: router._backlog(e) + ANEW * router._unread(e, req) for e in found}
     bound = HOT_TIMES * min(costs.values()) + HOT_SLACK
     return next(engine for engine in order if costs[engine.name] <= bound)
@@ -77,25 +77,28 @@
         router.pace["read"].add(chance.randint(1000, 90_000))
         router.pace["fetch"].add(chance.randint(1000, 90_000))
     for engine in router.engines.values():
-        engine.strikes = chance.choice([0, 0, 0, 1, 2])
-        engine.failures = chance.choice([0, 0, 0, 1, 2])
-        engine.trial_at = now + chance.choice([-1, 1])
-        engine.tokens, engine.unread = chance.randint(0, 120_000), chance.choice([0, 0, 9000, 60_000])
+        engine.ejections = chance.choice([0, 0, 0, 1, 2])
+        engine.consecutive_failures = chance.choice([0, 0, 0, 1, 2])
+        engine.next_trial_at = now + chance.choice([-1, 1])
+        engine.reserved_tokens, engine.pending_prefill_tokens = (
+            chance.randint(0, 120_000),
+            chance.choice([0, 0, 9000, 60_000]),
+        )
         engine.heard_at = now - chance.choice([0, 60_000_000])
         if chance.random() < 0.2:
-            engine.barred["chat"] = now + chance.choice([-1, 1])
+            engine.backoff_until["chat"] = now + chance.choice([-1, 1])
         if chance.random() < 0.5:
             said = report(memory_used=chance.random() * 1.3, queued=chance.choice([0.0, 2.0]))
             engine.report, engine.report_at = said, now
         for number in range(chance.choice([0, 0, 1, 3])):
             sent_at = now - chance.choice([1000, 50_000_000])
-            engine.out[number, 0] = Attempt(
+            engine.unanswered[number, 0] = Attempt(
                 number, 0, engine, sent_at, 5, 5, 5000, engine.role == "read", True, 2_000_000
             )
             heappush(router.late, (sent_at + 2_000_000, number, len(router.late), engine))
         for key in ("p", "s", "q"):
             if chance.random() < 0.2:
-                router.prefix_holders.put(engine, key, 4000)
+                router.prefix_holders.add(engine, key, 4000)
         router.watched[engine] = None  # asked over, whatever is against it
     req_id = bench.req(
         prompt=chance.choice([900, 5000, 20_000]), group=chance.choice(["chat", "pay", "mark"])
@@ -103,9 +106,9 @@
     req = router.requests.get(req_id)
     if req is None:
         return None
-    req.tried = set(chance.sample(sorted(router.engines), chance.randint(0, min(2, size))))
-    if req.effect is Effect.KEYED and chance.random() < 0.5:
-        req.may_have_run, req.run_window_ends = (
+    req.tried_engines = set(chance.sample(sorted(router.engines), chance.randint(0, min(2, size))))
+    if req.idempotency is Idempotency.WITH_KEY and chance.random() < 0.5:
+        req.may_have_run_on, req.repeat_until = (
             chance.choice(list(router.engines.values())),
             now + chance.choice([-1, 1]),
         )
@@ -137,7 +140,7 @@
         if max((len(pool.engines) for pool in made[0].writers_in.values()), default=0) <= FEW:
             assert one[0].chance.getstate() == two[0].chance.getstate()
         for name in one[0].engines:
-            assert one[0].engines[name].cold_credit == two[0].engines[name].cold_credit
+            assert one[0].engines[name].slow_start_credit == two[0].engines[name].slow_start_credit
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -168,19 +171,22 @@
     ))  # fmt: skip
     for _ in range(events):
         bench.clock += chance.choice([1000, 100_000, 3_000_000])
-        what, out = chance.random(), [req for req in bench.router.requests.values() if req.out]
+        what, out = chance.random(), [req for req in bench.router.requests.values() if req.in_flight]
         if what < 0.4 or not out:
             bench.req(chance.choice([900, 6000]), session=str(chance.randrange(9)), beginning="")
         else:
             req = chance.choice(out)
-            forward = req.out
+            forward = req.in_flight
             if what < 0.55:
-                bench.router.on_begun(req.demand.id, forward.number, 50_000)
+                bench.router.on_first_token(req.spec.id, forward.number, 50_000)
             else:
-                ending = chance.choice([Ending.READ if forward.reading else Ending.DONE, Ending.BUSY,
-                                        Ending.UNREACHABLE, Ending.BROKEN, Ending.NOT_SENT])  # fmt: skip
-                bench.router.on_ended(
-                    req.demand.id, forward.number, forward.engine.name, ending, 50_000, 0, False, None
+                ending = chance.choice([
+                    AttemptOutcome.PREFILLED if forward.is_prefill else AttemptOutcome.COMPLETED,
+                    AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST,
+                    AttemptOutcome.NOT_SENT,
+                ])  # fmt: skip
+                bench.router.on_attempt_ended(
+                    req.spec.id, forward.number, forward.engine.name, ending, 50_000, 0, False, None
                 )
     return bench.router, bench.clock
 
@@ -190,14 +196,20 @@
     router, now = watched_after(80, seed)
     watched = router._watch(now)
     for engine in router.engines.values():
-        barred = any(now < until for until in engine.barred.values())
-        doubtful = engine.strikes or engine.failures > 1 or now < engine.cold_until or barred
+        barred = any(now < until for until in engine.backoff_until.values())
+        doubtful = (
+            engine.ejections or engine.consecutive_failures > 1 or now < engine.slow_start_until or barred
+        )
         if doubtful or router._silent(engine, now):
             assert engine in watched
     for engine in router.engines.values():
-        for key in engine.kept:
-            assert engine in router.prefix_holders.of(key)
-        assert all(key in e.kept for key in engine.kept for e in router.prefix_holders.of(key))
+        for key in engine.cached_prefixes:
+            assert engine in router.prefix_holders.holders_of(key)
+        assert all(
+            key in e.cached_prefixes
+            for key in engine.cached_prefixes
+            for e in router.prefix_holders.holders_of(key)
+        )
 
 
 def test_the_fleets_differ_enough_for_the_comparison_to_mean_something():
@@ -210,9 +222,9 @@
         router, req = made
         now = router.host.now()
         engines = list(router.engines.values())
-        seen["ill"] += any(engine.strikes or router._silent(engine, now) for engine in engines)
-        seen["cold"] += any(now < engine.cold_until for engine in engines)
-        seen["barred"] += any(engine.barred for engine in engines)
+        seen["ill"] += any(engine.ejections or router._silent(engine, now) for engine in engines)
+        seen["cold"] += any(now < engine.slow_start_until for engine in engines)
+        seen["barred"] += any(engine.backoff_until for engine in engines)
         seen["full"] += any(router._pressure(engine) >= 1 for engine in router.writers)
         seen["none"] += not usable(router, router.writers, req)
     assert min(seen.values()) > 2
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -53,8 +53,13 @@
 
 def test_a_script_becomes_start_settings():
     start = derive.deployment(script.run(GOOD, "x.star"), "one", 5)
-    assert (start.zone, start.routers, start.seed, start.roles) == ("a", 1, 5, {"r": "read", "w": "write"})
-    assert start.groups["g"].target == 1_000_000 and start.tenants["t"].quota_per_s == 2.0
+    assert (start.zone, start.routers, start.seed, start.role_by_kind) == (
+        "a",
+        1,
+        5,
+        {"r": "read", "w": "write"},
+    )
+    assert start.request_classes["g"].ttft_target == 1_000_000 and start.tenants["t"].quota_per_s == 2.0
 
 
 @pytest.mark.parametrize("text", ["/no/such.star", "."])
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -8,7 +8,7 @@
 from lifthead.engines import codec
 from lifthead.engines.codec import ENDINGS, NOT_RUN, Events, Observation, StrangeError
 from lifthead.http1 import AnswerParser, HttpError, Message, ReqParser
-from lifthead.interface import Ending
+from lifthead.interface import AttemptOutcome
 
 WORDS = ["fuel ", "não ", "a\n\nb", "data: x", "«ok» "]
 
@@ -91,7 +91,7 @@
     proven = {
         observation
         for observation, (ending, _) in ENDINGS.items()
-        if ending in (Ending.BUSY, Ending.UNREACHABLE, Ending.NOT_SENT)
+        if ending in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT)
     }
     assert proven == {
         Observation.NO_CONNECTION,
@@ -120,7 +120,13 @@
 )
 def test_load_reports(said, expected):
     load = codec.load_report({"endpoint-load-metrics": said})
-    assert (load.held, load.queued, load.slots_used, load.memory_used, load.unread_thousands) == expected
+    assert (
+        load.in_flight,
+        load.queued,
+        load.slots_used,
+        load.memory_used,
+        load.prefill_backlog_thousands,
+    ) == expected
 
 
 @pytest.mark.parametrize(
