--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import GROUP, Bench, entry
 
-from lifthead.interface import Demand, Ending, LoadReport
+from lifthead.interface import AttemptOutcome, LoadReport, RequestSpec
 
 SPEED = 15_000  # prompt tokens a second of a prefill engine
 FETCH, STREAM, OVERHEAD = 15_000, 400_000, 5_000  # microseconds
@@ -45,8 +45,8 @@
     def now(self):
         return self.fleet.clock
 
-    def wake(self, after, label):
-        self.fleet.at(self.fleet.clock + max(after, 1), self.router_of, "on_wake", label)
+    def set_timer(self, after, key):
+        self.fleet.at(self.fleet.clock + max(after, 1), self.router_of, "on_timer", key)
 
     def router_of(self, method, *args):
         getattr(self.router, method)(*args)
@@ -55,39 +55,39 @@
         self.fleet.at(self.fleet.clock + 1000, self._probed, engine)
 
     def _probed(self, engine):
-        self.router.on_probed(engine, self.fleet.report(engine))
+        self.router.on_load_report(engine, self.fleet.report(engine))
 
-    def forward(self, req, engine, abandon_at, send_by):
-        super().forward(req, engine, abandon_at, send_by)
-        number = len(self.sent[req]) - 1
+    def start_attempt(self, request_id, engine, abandon_at, send_by):
+        super().start_attempt(request_id, engine, abandon_at, send_by)
+        number = len(self.sent[request_id]) - 1
         if engine[0] == "R":
-            took, found = self.fleet.read(engine, self.fleet.asked[self, req])
-            self.fleet.at(self.fleet.clock + took, self._read, req, number, engine, took, found)
+            took, found = self.fleet.read(engine, self.fleet.asked[self, request_id])
+            self.fleet.at(self.fleet.clock + took, self._read, request_id, number, engine, took, found)
         else:
-            self.fleet.at(self.fleet.clock + FETCH, self._begin, req, number, engine)
+            self.fleet.at(self.fleet.clock + FETCH, self._begin, request_id, number, engine)
 
     def _over(self, req, number, engine, ending, took, note, final):
         told = self.fleet.report(engine) if self.fleet.tells == "answers" else None
-        self.router.on_ended(req, number, engine, ending, took, note, final, told)
+        self.router.on_attempt_ended(req, number, engine, ending, took, note, final, told)
 
     def _read(self, req, number, engine, took, found):
         if self.ended(req, number):
             return
-        self._over(req, number, engine, Ending.READ, took, found, False)
+        self._over(req, number, engine, AttemptOutcome.PREFILLED, took, found, False)
 
     def _begin(self, req, number, engine):
         if self.ended(req, number):
             return
         self.fleet.asked[self, req].answered = True
-        self.router.on_begun(req, number, FETCH)
-        done = (req, number, engine, Ending.DONE, STREAM, 0, True)
+        self.router.on_first_token(req, number, FETCH)
+        done = (req, number, engine, AttemptOutcome.COMPLETED, STREAM, 0, True)
         self.fleet.at(self.fleet.clock + STREAM, self._over, *done)
 
     def ended(self, req, number):
         """Whether it was called off; then that is told."""
-        if ("cancel", req, number) not in self.did:
+        if ("cancel_attempt", req, number) not in self.did:
             return False
-        self._over(req, number, self.sent[req][number], Ending.CANCELLED, 1000, 0, True)
+        self._over(req, number, self.sent[req][number], AttemptOutcome.CANCELLED, 1000, 0, True)
         return True
 
 
@@ -102,10 +102,10 @@
         self.kept = defaultdict(Counter)
         self.asked = {}
         asked = self.tells == "asked"
-        group = replace(GROUP, target=target, target_per_1000=grows, deadline=self.patience)
+        group = replace(GROUP, ttft_target=target, ttft_target_per_1000=grows, deadline=self.patience)
         changes = {
-            "groups": {"chat": group}, "routers": routers, "writers_read": False, "tenants": {},
-            "may_probe": asked, "reports_on_probe": asked,
+            "request_classes": {"chat": group}, "routers": routers, "decode_engines_prefill": False,
+            "tenants": {}, "may_probe": asked, "reports_on_probe": asked,
         }  # fmt: skip
         self.seats = [Seat(self, seed=seed * 100 + n, **changes) for n in range(routers)]
 
@@ -114,7 +114,9 @@
 
     def report(self, engine):
         waits = max(self.free_at[engine] - self.clock, 0) * SPEED // 1_000_000
-        return LoadReport(held=1, queued=int(waits > 0), memory_used=0.2, unread_thousands=waits / 1000)
+        return LoadReport(
+            in_flight=1, queued=int(waits > 0), memory_used=0.2, prefill_backlog_thousands=waits / 1000
+        )
 
     def read(self, engine, sent):
         found = min(self.kept[engine][sent.session], sent.prompt)
@@ -127,8 +129,10 @@
         seat = self.chance.choice(self.seats)
         seat.next_id = req = seat.next_id + 1
         self.asked[seat, req] = sent
-        demand = Demand(req, "chat", "", self.patience, sent.prompt, 200, sent.session, *beginning, 0, False)
-        seat.router.on_req(demand)
+        demand = RequestSpec(
+            req, "chat", "", self.patience, sent.prompt, 200, sent.session, *beginning, 0, False
+        )
+        seat.router.on_request(demand)
 
     def play(self, until):
         while self.heap and self.heap[0][0] <= until:
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -13,7 +13,7 @@
     Violations,
     Work,
 )
-from lifthead.interface import Effect
+from lifthead.interface import Idempotency
 
 ALLOWED = 300_000  # microseconds for a held state
 DUE = 5_000_000
@@ -26,7 +26,7 @@
     return []
 
 
-def guarded(reported, effect=Effect.REPLAYABLE):
+def guarded(reported, effect=Idempotency.IDEMPOTENT):
     return RequestGuard("r", effect, DUE, ALLOWED, Violations(lambda *said: reported.append(said)))
 
 
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("proven", [True, False])
 def test_a_non_idempotent_request_is_repeated_or_rejected_only_if_proven_not_run(proven, reported):
-    guard = guarded(reported, Effect.NON_REPLAYABLE)
+    guard = guarded(reported, Idempotency.NON_IDEMPOTENT)
     one = attempt(guard, Work.WHOLE)
     guard.writing(one, 1)
     guard.written(one)
@@ -136,13 +136,13 @@
 
 
 def test_an_attempt_that_was_never_written_has_not_run(reported):
-    guard = guarded(reported, Effect.NON_REPLAYABLE)
+    guard = guarded(reported, Idempotency.NON_IDEMPOTENT)
     guard.ended(attempt(guard, Work.WHOLE), 1, proven_not_run=False, answered=False)
     assert not guard.may_have_run
 
 
 def test_a_prefill_has_no_effect_and_may_leave_a_state_however_it_ends(reported):
-    guard = guarded(reported, Effect.NON_REPLAYABLE)
+    guard = guarded(reported, Idempotency.NON_IDEMPOTENT)
     one = attempt(guard, Work.PREFILL, engine="p")
     guard.writing(one, 1)
     guard.release_wanted(1)
--- a/tests/test_held_audit.py
+++ b/tests/test_held_audit.py
@@ -6,7 +6,7 @@
 from lifthead import releases
 from lifthead.guard import Attempt, RequestGuard, Rule, Violations, Work
 from lifthead.held_audit import Entry, Fact, longest_unclaimed
-from lifthead.interface import Effect
+from lifthead.interface import Idempotency
 
 ALLOWED = 300
 
@@ -64,7 +64,7 @@
     engine sees that at once, or stands still until `runs_at`."""
     reported = []
     violations = Violations(lambda *said: reported.append(said[0]))
-    guard = RequestGuard("r", Effect.REPLAYABLE, 1_000_000, 300_000, violations)
+    guard = RequestGuard("r", Idempotency.IDEMPOTENT, 1_000_000, 300_000, violations)
     prefill = Attempt(number=0, engine="p", work=Work.PREFILL, send_by=1 << 62, sent_at=0)
     call = Attempt(number=1, engine="d", work=work, send_by=1 << 62, sent_at=0)
     guard.start(prefill)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -206,9 +206,11 @@
 def doctored(path):
     """Decisions with a planted defect: what may have run is sent again, also what must not run twice."""
     text = Path(control.__file__).read_text()
-    sound = (
-        "return self._give_up(request) if request.effect is Effect.NON_REPLAYABLE else self._route(request)"
-    )
+    sound = """return (
+            self._give_up(request)
+            if request.idempotency is Idempotency.NON_IDEMPOTENT
+            else self._route(request)
+        )"""
     assert text.count(sound) == 1
     (path / "doctored.py").write_text(text.replace(sound, "return self._route(request)"))
     return str(path / "doctored.py")
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -192,13 +192,13 @@
 @pytest.mark.parametrize("prompt", [100, 5000])
 def test_a_fault_of_ours_in_one_request_ends_neither_the_router_nor_that_request(prompt):
     async def play(node):
-        sound = node.host.router.on_ended
+        sound = node.host.router.on_attempt_ended
 
         def faulty(*told):
-            node.host.router.on_ended = sound
+            node.host.router.on_attempt_ended = sound
             raise ZeroDivisionError("planted")
 
-        node.host.router.on_ended = faulty
+        node.host.router.on_attempt_ended = faulty
         first = (await ask(node.address, chat(prompt, trace="a1")))[0]
         second = (await ask(node.address, chat(prompt, trace="a2")))[0]
         await node.until(lambda: not node.host.pending_requests and not node.host.router.requests)
@@ -245,7 +245,7 @@
 
     async def play(node):
         monkeypatch.setattr(node.host, "_last_heard", faulty)
-        node.host.wake(0, -5)
+        node.host.set_timer(0, -5)
         monkeypatch.setattr(node.host.router, "_look_round", faulty)
         answers = [(await ask(node.address, chat(5000, trace="a1", group="pay", waits="600")))[0]]
         await asyncio.sleep(0.3)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -35,7 +35,7 @@
 from lifthead.engines.link import RESTS_FOR, Lasting, Link
 from lifthead.hosting import now, wall_ahead
 from lifthead.http1 import AnswerParser, HttpError, Message, ReqParser
-from lifthead.interface import Effect, Ending, LoadReport
+from lifthead.interface import AttemptOutcome, Idempotency, LoadReport
 from lifthead.node import clients, engines, host, start
 from lifthead.node.discovery import Follower, Gathering, StrangeNewsError, news_of
 from lifthead.node.serve import read_again
@@ -80,7 +80,10 @@
     told = start.start_of(json.dumps(config(known=known, limits={"sockets": 256})).encode())
     assert (told.known.version, told.known.entries[0][1]) == (41, "1.2.3.4:5")
     assert told.clients + told.engines + start.OWN == 256 and told.clients > 256 / 3
-    assert told.deployment.seed == 11 and told.deployment.groups["pay"].effect is Effect.NON_REPLAYABLE
+    assert (
+        told.deployment.seed == 11
+        and told.deployment.request_classes["pay"].idempotency is Idempotency.NON_IDEMPOTENT
+    )
 
 
 @pytest.mark.parametrize(
@@ -127,21 +130,32 @@
     return parser.ready.popleft()
 
 
-GROUPS = deployment_of(flat(SETTINGS)).groups
+GROUPS = deployment_of(flat(SETTINGS)).request_classes
 
 
 def test_a_message_becomes_a_demand():
     props = "prefix=5c0f,prompt_len=512,prefix_len=128,max_out=80"
     sent = chat(600, X_Props=props, X_Second_Try="again", waits="4800")
     demand = clients.demand_of(message(sent), 7, GROUPS)
-    assert (demand.id, demand.group, demand.budget, demand.prompt, demand.max_out) == (
+    assert (
+        demand.id,
+        demand.request_class,
+        demand.budget,
+        demand.prompt_tokens,
+        demand.max_output_tokens,
+    ) == (
         7,
         "ask",
         4_800_000,
         512,
         80,
     )
-    assert (demand.beginning, demand.beginning_len, demand.session, demand.again) == ("5c0f", 128, "s1", True)
+    assert (demand.prefix_id, demand.prefix_tokens, demand.session, demand.is_retry) == (
+        "5c0f",
+        128,
+        "s1",
+        True,
+    )
 
 
 @pytest.mark.parametrize(
@@ -183,9 +197,10 @@
 
 @pytest.mark.parametrize(
     ("status", "mark", "ending"),
-    [(202, "", (Ending.READ, 0)), (500, "", (Ending.ERROR, 0)), (503, "1", (Ending.BUSY, 0)),
-     (504, "1", (Ending.BUSY, 0)), (503, "", (Ending.ERROR, 0)), (410, "1", (Ending.BUSY, 1)),
-     (400, "", (Ending.ERROR, 0)), (302, "", (Ending.ERROR, 0))],
+    [(202, "", (AttemptOutcome.PREFILLED, 0)), (500, "", (AttemptOutcome.ERROR, 0)),
+     (503, "1", (AttemptOutcome.REJECTED, 0)), (504, "1", (AttemptOutcome.REJECTED, 0)),
+     (503, "", (AttemptOutcome.ERROR, 0)), (410, "1", (AttemptOutcome.REJECTED, 1)),
+     (400, "", (AttemptOutcome.ERROR, 0)), (302, "", (AttemptOutcome.ERROR, 0))],
 )  # fmt: skip
 def test_what_an_answer_says_of_its_forward(status, mark, ending):
     observation = engines.observation_of(Message(status=status, headers={"x-never-ran": mark}))
@@ -193,7 +208,7 @@
 
 
 def test_every_sight_has_an_ending_and_few_prove_that_nothing_ran():
-    not_run = {Ending.UNREACHABLE, Ending.NOT_SENT, Ending.BUSY}
+    not_run = {AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT, AttemptOutcome.REJECTED}
     proofs = {observation for observation, (ending, _) in engines.ENDINGS.items() if ending in not_run}
     assert set(engines.ENDINGS) == set(Observation)
     assert proofs == {
@@ -422,7 +437,9 @@
             return connection
 
         link.take = late
-        return (await ask(node.address, chat(100, group="pay")))[0], node.host.router.engines["wr"].failures
+        return (await ask(node.address, chat(100, group="pay")))[0], node.host.router.engines[
+            "wr"
+        ].consecutive_failures
 
     wr = Rude()
     assert played(play, wr=wr) == (200, 0) and len(wr.came) == 1
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -12,7 +12,7 @@
 from test_daemon import forwards, run, texts
 
 from lifthead.engines.codec import ListedEngine, ListNews
-from lifthead.interface import Effect, EndpointGroup
+from lifthead.interface import Idempotency, RequestClass
 from lifthead.resume import notice, rescue, splice
 from lifthead.resume.notice import Notice
 from lifthead.resume.rescue import Broken, Draining, Rescue
@@ -214,10 +214,10 @@
     assert moved == 0
 
 
-GROUP = EndpointGroup("g", Effect.REPLAYABLE, "all", 5 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
-ONCE = EndpointGroup("o", Effect.NON_REPLAYABLE, "all", 5 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
-KEYED = EndpointGroup("k", Effect.KEYED, "zone", 2 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
-DEAR = EndpointGroup("d", Effect.REPLAYABLE, "all", 5 * S, S, 0, 8 * S, 50 * MS, 3.0, 0.1)
+GROUP = RequestClass("g", Idempotency.IDEMPOTENT, "all", 5 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
+ONCE = RequestClass("o", Idempotency.NON_IDEMPOTENT, "all", 5 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
+KEYED = RequestClass("k", Idempotency.WITH_KEY, "zone", 2 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
+DEAR = RequestClass("d", Idempotency.IDEMPOTENT, "all", 5 * S, S, 0, 8 * S, 50 * MS, 3.0, 0.1)
 
 
 def broken(stream, group=GROUP, tenant="t", written=5, times=0, ran_at=0, obstacle="", at=S):
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -12,7 +12,7 @@
 from helpers import Bench, entry, report
 from onenode import config, news, target
 
-from lifthead.interface import Ending
+from lifthead.interface import AttemptOutcome
 from lifthead.node.discovery import news_of
 from lifthead.node.host import Host
 from lifthead.node.start import start_of
@@ -47,9 +47,9 @@
 def serve(bench, prompt, key):
     req = bench.req(prompt, beginning=f"p{key}", session=f"s{key}")
     if bench.last(req).startswith("R"):
-        bench.end(req, Ending.READ, report=report(queued=0, unread_thousands=1.0))
+        bench.end(req, AttemptOutcome.PREFILLED, report=report(queued=0, prefill_backlog_thousands=1.0))
     bench.begin(req)
-    bench.end(req, Ending.DONE)
+    bench.end(req, AttemptOutcome.COMPLETED)
 
 
 @pytest.mark.parametrize("prompt", [200, 9000])
