--- a/benchmarks/parsers.py
+++ b/benchmarks/parsers.py
@@ -4,21 +4,21 @@
 
 import h11
 
-from lifthead.http1 import AnswerParser, ReqParser, chunk
+from lifthead.http1 import AnswerParser, RequestParser, encode_chunk
 
 REQ = (
     b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer k\r\nContent-Length: 900\r\n\r\n"
     + b"x" * 900
 )
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-EVENT = chunk(b"data: " + b"x" * 160 + b"\n\n")
+EVENT = encode_chunk(b"data: " + b"x" * 160 + b"\n\n")
 EVENTS = 2000
 
 
 def by_httptools_req():
-    parser = ReqParser(16_384, 1 << 20)
+    parser = RequestParser(16_384, 1 << 20)
     parser.feed(REQ)
-    assert parser.ready
+    assert parser.requests
 
 
 def by_h11_req():
--- a/lifthead/chat/server.py
+++ b/lifthead/chat/server.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-from lifthead import http1, peek
+from lifthead import http1, socket_state
 from lifthead.http1 import Headers, HttpError, Message
 
 READ = 65_536
@@ -77,7 +77,11 @@
     def gone(self) -> bool:
         """Whether the client has left, though its end may still wait behind the loop's other work. The end of
         its sending counts: a close can't be told from it."""
-        return self.over or self._writer.transport.is_closing() or peek.seen(self._writer, peek.ENDED)
+        return (
+            self.over
+            or self._writer.transport.is_closing()
+            or socket_state.has_event(self._writer, socket_state.PEER_CLOSED)
+        )
 
     def whole(self, status: int, body: bytes, headers: Headers = JSON) -> None:
         """A whole answer at once."""
@@ -85,14 +89,14 @@
             return
         self.begun = self.over = True
         fields = {**headers, "content-length": str(len(body)), "connection": self._kept()}
-        self._put(http1.answer_head(status, fields) + body)
+        self._put(http1.encode_answer_head(status, fields) + body)
         self.finished.set()
 
     def begin(self, headers: Headers, data: bytes = b"") -> None:
         """The head of a stream of events, and its first."""
         self.begun = True
         self._put(
-            http1.answer_head(
+            http1.encode_answer_head(
                 200,
                 {
                     **headers,
@@ -102,7 +106,7 @@
                     "connection": self._kept(),
                 },
             )
-            + (http1.chunk(data) if data else b"")
+            + (http1.encode_chunk(data) if data else b"")
         )
 
     def cut(self) -> None:
@@ -113,7 +117,7 @@
     def send(self, data: bytes) -> bool:
         """Events of a begun stream; False if the client is the slower one and `room` must be awaited."""
         if not self.over:
-            self._put(http1.chunk(data))
+            self._put(http1.encode_chunk(data))
         return self._writer.transport.get_write_buffer_size() <= READ
 
     async def room(self) -> None:
@@ -124,7 +128,7 @@
         """The last events of a begun stream."""
         if not self.over:
             self.over = True
-            self._put((http1.chunk(data) if data else b"") + http1.LAST_CHUNK)
+            self._put((http1.encode_chunk(data) if data else b"") + http1.LAST_CHUNK)
             self.finished.set()
 
     def drop(self) -> None:
@@ -236,7 +240,7 @@
             for writer, (since, reading) in itertools.islice(waiting.items(), LOOKED_AT):
                 unsent = writer.transport.get_write_buffer_size()
                 spared = now - since <= SILENT_FOR or unsent or reading.expired()
-                if not spared and not peek.seen(writer, peek.UNREAD):
+                if not spared and not socket_state.has_event(writer, socket_state.READABLE):
                     del waiting[writer]
                     self._open.discard(writer)
                     reading.reschedule(now)
@@ -292,14 +296,14 @@
                 self._open.discard(writer)
 
     async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        parser = http1.ReqParser(self.limits.header_bytes, self.limits.body_bytes)
+        parser = http1.RequestParser(self.limits.header_bytes, self.limits.body_bytes)
         idle = self._fresh
         while True:
             try:
                 message = await self._next(reader, writer, parser, idle)
                 idle = self._idle
             except HttpError as problem:
-                said = self._error(problem.status, "bad_http", problem.said)
+                said = self._error(problem.status, "bad_http", problem.reason)
                 Reply(writer, False).whole(problem.status, said)
                 return await self._linger(reader, writer)
             if message is None:
@@ -309,7 +313,7 @@
                 writer,
                 message.keep_alive,
                 self.limits.body_within / 1e6,
-                lambda: self.stopping and not parser.ready,
+                lambda: self.stopping and not parser.requests,
             )
             if self._shut:
                 reply.whole(503, self._error(503, "stopping", "it came too late: trying again does no harm"))
@@ -319,7 +323,12 @@
                     await self._serve(message, reply)
                     watch.cancel()
             if not reply.keep_alive:
-                if parser.ready or parser.partial or parser.broken or peek.seen(writer, peek.UNREAD):
+                if (
+                    parser.requests
+                    or parser.partial
+                    or parser.error
+                    or socket_state.has_event(writer, socket_state.READABLE)
+                ):
                     await self._linger(reader, writer)
                 return
             await reply.room()
@@ -328,7 +337,7 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        parser: http1.ReqParser,
+        parser: http1.RequestParser,
         idle: Waiting,
     ) -> Message | None:
         """The next whole req; None if the client is done. Guards against slow senders: a head and a body
@@ -337,9 +346,9 @@
         loop = asyncio.get_running_loop()
         first = idle is self._fresh and self._first_within
         latest = loop.time() + first if first else math.inf
-        while not parser.ready:
-            if parser.broken:
-                raise parser.broken from None
+        while not parser.requests:
+            if parser.error:
+                raise parser.error from None
             if parser.partial:
                 if since is None or in_head != parser.in_head:
                     since, in_head = loop.time(), parser.in_head
@@ -362,8 +371,8 @@
                 idle.pop(writer, None)
             if not data:
                 return None
-            parser.take(data, loop.time())
-        return parser.ready.popleft()
+            parser.feed_pipelined(data, loop.time())
+        return parser.requests.popleft()
 
     async def _linger(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Closes only once the peer has had time to read why: with bytes of its own still unread, an answer
@@ -376,7 +385,7 @@
                 while left > 0 and (data := await reader.read(READ)):
                     left -= len(data)
 
-    async def _watch(self, reader: asyncio.StreamReader, parser: http1.ReqParser, reply: Reply) -> None:
+    async def _watch(self, reader: asyncio.StreamReader, parser: http1.RequestParser, reply: Reply) -> None:
         """Sees at once that the client left, whatever it sent before: reading goes on to the end. What comes
         early is parsed, up to a bound, and waits its turn; what comes past that, or can't be read, is thrown
         away. A client that closes its sending side counts as gone."""
@@ -385,9 +394,9 @@
             while data := await reader.read(READ):
                 early += len(data)
                 if early > EARLY_BYTES:
-                    parser.broken = HttpError(413, f"over {EARLY_BYTES} bytes came before an answer")
-                parser.take(data, loop.time())
-                if parser.broken:  # guards memory and the loop against a flood behind a request
+                    parser.error = HttpError(413, f"over {EARLY_BYTES} bytes came before an answer")
+                parser.feed_pipelined(data, loop.time())
+                if parser.error:  # guards memory and the loop against a flood behind a request
                     await asyncio.sleep(EARLY_PAUSE)
         reply.keep_alive = False
         if not reply.over:
--- a/lifthead/daemon/biller.py
+++ b/lifthead/daemon/biller.py
@@ -38,7 +38,7 @@
     def over(self, pending: ChatRequest) -> None:
         if not pending.billed:
             pending.billed = True
-            entry = self._entry(pending, pending.ended)
+            entry = self._entry(pending, pending.final_answer)
             self._settle(pending, entry)
             self._keeper.put(entry)
 
--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -24,7 +24,7 @@
 from lifthead.engines.codec import ENDINGS, ListNews, Observation, StrangeError
 from lifthead.engines.link import Connection, Link
 from lifthead.guard import RequestGuard, Rule
-from lifthead.hosting import now, wall_ahead
+from lifthead.hosting import now, wall_clock_offset
 from lifthead.http1 import HttpError
 from lifthead.interface import Demand, Deployment, Effect, Ending, EngineEntry, LoadReport
 from lifthead.members.weight import Lately
@@ -75,13 +75,13 @@
 
     def on_list(self, news: ListNews) -> None:
         """A push of the list of engines. What is left out of a whole list counts as gone."""
-        at, ahead = now(), wall_ahead()
+        at, ahead = now(), wall_clock_offset()
         self.listed_at = at
         entries = []
         for listed in news.engines:
-            endpoint = self._note(listed.name, listed.address, listed.kind, listed.readiness, at)
-            endpoint.drains_by = listed.drains_by - self.starts.wall_ahead if listed.drains_by else 0
-            up_since = self.starts.up_since(listed.name, listed.started_at, at, ahead)
+            endpoint = self._update_endpoint(listed.name, listed.address, listed.kind, listed.readiness, at)
+            endpoint.drains_by = listed.drains_by - self.start_times.wall_offset if listed.drains_by else 0
+            up_since = self.start_times.up_since(listed.name, listed.started_at, at, ahead)
             entries.append(
                 EngineEntry(
                     listed.name,
@@ -93,9 +93,9 @@
                     listed.readiness,
                 )
             )
-        self.starts.listed(at)
+        self.start_times.on_list(at)
         if news.whole:
-            self._only({listed.name for listed in news.engines}, at)
+            self._mark_missing_gone({listed.name for listed in news.engines}, at)
         self.router.on_engines(entries, news.whole)
 
     def _link(self, address: str) -> Link:
@@ -114,17 +114,17 @@
     async def take(self, asked: Asked, reply: Reply, waited: int = 0) -> None:
         """A client's request, from its demand to the end of its answer. `waited`: microseconds of its budget
         that are gone."""
-        req_id, self._next = self._next, self._next + 1
+        req_id, self._next_id = self._next_id, self._next_id + 1
         name = f"{self.name}-{self._life}-{req_id}"
-        guard = self._guard(name, asked.group, max(asked.budget - waited, 0))
+        guard = self._new_guard(name, asked.group, max(asked.budget - waited, 0))
         pending = ChatRequest(
             id=req_id, serial=req_id, name=name, asked=asked, reply=reply, guard=guard, taken_at=now()
         )
         pending.body = asked.body
         self.pending_requests[req_id] = pending
-        self.empty.clear()
+        self.idle.clear()
         self.gauges.taken(asked.group)
-        reply.left = lambda: self._left(pending)
+        reply.left = lambda: self._on_client_gone(pending)
         self._tell(pending, max(asked.budget - waited, 0), asked.prompt, asked.max_out)
         await reply.finished.wait()
         self._forget(pending)
@@ -132,7 +132,7 @@
     def _tell(self, pending: ChatRequest, budget: int, prompt: int, max_out: int) -> None:
         """Has the module place a leg of the request."""
         asked = pending.asked
-        self._tell_module(
+        self._place_request(
             Demand(
                 pending.id,
                 asked.group,
@@ -150,14 +150,14 @@
             pending,
         )
 
-    def _left(self, pending: ChatRequest) -> None:
+    def _on_client_gone(self, pending: ChatRequest) -> None:
         """The client went away: what is out for it is called off, what is held is let go of."""
-        if not self._answered(pending, "left"):
+        if not self._set_final_answer(pending, "left"):
             return
         self.router.on_expired(pending.id)
         self.rescue.settled(pending.serial)
         self._streams.pop(pending.serial, None)
-        if pending.begun and pending.attempt:
+        if pending.answer_started and pending.attempt:
             self.cancel(pending.id, pending.attempt.number)  # a stream that nobody reads
 
     # What the module does.
@@ -175,7 +175,7 @@
         pending = self.pending_requests[req]
         if pending.reply.begun:
             return self._break_off(pending, "no place was found for the rest of it")
-        if self._answered(pending, "pushed back"):
+        if self._set_final_answer(pending, "pushed back"):
             headers = {
                 **self._headers(pending),
                 "retry-after": str(-(-hold_off // 1_000_000) or 1),
@@ -189,7 +189,7 @@
         pending = self.pending_requests[req]
         if pending.reply.begun:
             return self._break_off(pending, "the rest of it could not be had in time")
-        if self._answered(pending, "aborted"):
+        if self._set_final_answer(pending, "aborted"):
             late = now() - pending.taken_at >= pending.asked.budget * 9 // 10
             status, code = (504, "deadline") if late else (502, "aborted")
             said = "aborted: whether it had an effect is not known"
@@ -201,7 +201,7 @@
 
     # Carrying an attempt.
 
-    async def _carry(self, pending: ChatRequest, attempt: ChatAttempt, abandon_at: int) -> None:
+    async def _run_attempt(self, pending: ChatRequest, attempt: ChatAttempt, abandon_at: int) -> None:
         """From the sending of an attempt to the telling of its ending; owns its connection throughout."""
         attempt.started = True
         endpoint, name = self.endpoints[attempt.engine], f"{pending.name}.{pending.sent - 1}"
@@ -209,16 +209,16 @@
         observation, note, report = Observation.CALLED_OFF, 0, None
         try:
             async with asyncio.timeout_at(abandon_at / 1e6) as limit:
-                if attempt.called_off:
+                if attempt.cancelled:
                     raise asyncio.CancelledError
                 try:
                     # A kept connection that its engine closes can't be told from an attempt that ran.
-                    may_repeat = attempt.reading or self._effects[pending.asked.group] is Effect.REPLAYABLE
+                    may_repeat = attempt.is_prefill or self._effects[pending.asked.group] is Effect.REPLAYABLE
                     connection = await endpoint.link.take(fresh=not may_repeat or attempt.number > 0)
                 except (OSError, TimeoutError):
                     observation = Observation.NO_CONNECTION
                 else:
-                    observation = self._refused(pending, attempt, endpoint)
+                    observation = self._check_before_sending(pending, attempt, endpoint)
                     if observation is None:
                         observation, note, report = await self._exchange(
                             pending, attempt, endpoint, connection, name, limit
@@ -226,7 +226,7 @@
         except TimeoutError:
             observation = Observation.OUT_OF_TIME
         except asyncio.CancelledError:
-            if not attempt.called_off:
+            if not attempt.cancelled:
                 raise  # the process ends
             observation = Observation.STALLED if attempt.lost else Observation.CALLED_OFF
         except (OSError, EOFError):
@@ -236,7 +236,7 @@
             self._log.warning(
                 "strange answer", req=pending.name, engine=attempt.engine, said=str(problem)[:200]
             )
-        await self._part(pending, attempt, endpoint, connection, observation)
+        await self._return_connection(pending, attempt, endpoint, connection, observation)
         self._over(pending, attempt, observation, note, report)
 
     async def _exchange(
@@ -250,28 +250,28 @@
     ) -> tuple[Observation, int, LoadReport | None]:
         """Sends an attempt and reads its answer: what was seen, tokens found kept, the load told with it."""
         asked, address = pending.asked, endpoint.link.address
-        if attempt.reading:
+        if attempt.is_prefill:
             sent = codec.read_req(address, name, asked.client_id, pending.body)
         else:
             sent = codec.write_req(address, name, asked.client_id, asked.key, pending.body, pending.handle)
         await connection.send(sent)
-        pending.guard.written(attempt)
+        pending.guard.on_sent(attempt)
         self.router.on_written(pending.id, attempt.number, connection.uses > 0)
         head = await connection.head()
-        endpoint.answered_for = max(endpoint.answered_for, attempt.sent_at)
-        pending.guard.confirmed_by(attempt)
+        endpoint.last_answered_sent_at = max(endpoint.last_answered_sent_at, attempt.sent_at)
+        pending.guard.on_confirmed(attempt)
         report = codec.load_report(head.headers)
         if head.status != 200:
             await connection.rest()
             seen = codec.refusal(head)
             if seen is Observation.STATE_GONE:
                 pending.handle = None
-                pending.guard.state_gone()
+                pending.guard.on_state_gone()
             return seen, 0, report
-        if attempt.reading:
+        if attempt.is_prefill:
             pending.handle, kept = codec.read_answer(await connection.rest())
             pending.kept = kept
-            pending.guard.leased(attempt, now())
+            pending.guard.on_leased(attempt, now())
             return Observation.READ, kept, report
         if report:
             self.router.on_probed(attempt.engine, report)  # now, not when the stream ends
@@ -297,7 +297,7 @@
         while data := await connection.more():
             tokens = events.tokens
             while data:
-                if pending.begun and not gathered and not splice:
+                if pending.answer_started and not gathered and not splice:
                     passes, looked_at = events.plain(data)
                     held_back.append(passes)
                     data = b""
@@ -314,15 +314,15 @@
                                 continue  # the client has it
                             event = b"data: " + new + b"\n\n"
                         held_back.append(event)
-                    if text and not pending.begun:
+                    if text and not pending.answer_started:
                         self._begin(pending, attempt, limit)
             attempt.tokens = events.tokens
             if splice and splice.stopped:
                 events.ended = True
             if events.ended:
                 break
-            if pending.begun and not gathered:
-                if pending.ended:
+            if pending.answer_started and not gathered:
+                if pending.final_answer:
                     return Observation.CALLED_OFF, 0
                 ready = b"".join(held_back)
                 held_back.clear()
@@ -344,16 +344,16 @@
             return Observation.CUT, 0
         self.notice.ended(pending.serial)
         limit.reschedule(None)  # the answer is whole
-        if not gathered and not pending.ended:
+        if not gathered and not pending.final_answer:
             if not pending.reply.begun:
                 pending.reply.begin(self._headers(pending))
             pending.written.add(ready := b"".join(held_back))
             if ready:
                 pending.reply.send(ready)
         self._count(pending, events, gathered is not None)
-        if self._bill and not pending.ended:
+        if self._bill and not pending.final_answer:
             await self._bill.done(pending)
-        if self._answered(pending, "done"):
+        if self._set_final_answer(pending, "done"):
             if gathered:
                 pending.reply.whole(200, gathered.whole(), {**self._headers(pending), **JSON})
             else:
@@ -373,9 +373,9 @@
 
     def _begin(self, pending: ChatRequest, attempt: ChatAttempt, limit: asyncio.Timeout) -> None:
         at = now()
-        pending.begun, pending.handle = True, None
-        pending.guard.fetched(attempt, at)
-        self._releases.look_at(pending.guard)
+        pending.answer_started, pending.handle = True, None
+        pending.guard.on_first_token(attempt, at)
+        self._release_tasks.update(pending.guard)
         self.router.on_begun(pending.id, attempt.number, at - attempt.sent_at, pending.asked.streamed)
         if pending.legs:
             self.rescue.settled(pending.serial)
@@ -394,7 +394,7 @@
         else:
             pending.first_at = at
             self.gauges.first(pending.asked.group, at - pending.taken_at)
-        if pending.asked.streamed and not pending.ended:
+        if pending.asked.streamed and not pending.final_answer:
             limit.reschedule(None)
             self._streams[pending.serial] = pending
             self.notice.begun(pending.serial, attempt.engine, at)
@@ -412,28 +412,28 @@
         """Tells how an attempt ended. A stream that broke in front of its client goes to the rescue, or ends
         with an error event."""
         ending, mark = ENDINGS[observation]
-        if observation is Observation.OUT_OF_TIME and pending.begun and pending.asked.streamed:
+        if observation is Observation.OUT_OF_TIME and pending.answer_started and pending.asked.streamed:
             observation, (ending, mark) = Observation.STALLED, ENDINGS[Observation.STALLED]
             self._log.error(
                 "stream stalled: ended by the last guard", req=pending.name, engine=attempt.engine
             )
-        self._ended(pending, attempt, observation)
+        self._on_attempt_ended(pending, attempt, observation)
         pending.trail.append(f"{attempt.engine}:{observation.name.lower()}")
         self.gauges.forwarded(ending)
         self._streams.pop(pending.serial, None)
         self.notice.ended(pending.serial)
         waits = False
-        if pending.begun and ending is not Ending.DONE:
+        if pending.answer_started and ending is not Ending.DONE:
             if not pending.asked.streamed:
-                pending.begun = False  # nothing of it has reached the client
+                pending.answer_started = False  # nothing of it has reached the client
                 pending.made += attempt.tokens
-            elif not pending.ended:
+            elif not pending.final_answer:
                 waits = self._broken(pending, attempt, observation)
             else:  # its client left
                 pending.made += pending.written.settle().tokens - pending.before
                 pending.sent_tokens = pending.written.tokens
-        final = ending is Ending.DONE or pending.ended != "" or waits
-        with self._telling(pending):
+        final = ending is Ending.DONE or pending.final_answer != "" or waits
+        with self._timers_belong_to(pending):
             self.router.on_ended(
                 pending.id,
                 attempt.number,
@@ -444,7 +444,7 @@
                 final,
                 report,
             )
-        if pending.ended and pending.attempt is None:
+        if pending.final_answer and pending.attempt is None:
             self.free_state(pending.id)  # guards rule 5 where the module has forgotten the request
         self._forget(pending)
         if waits:
@@ -452,7 +452,7 @@
 
     # Releases and probes.
 
-    async def _ask_to_release(self, guard: RequestGuard) -> int:
+    async def _send_releases(self, guard: RequestGuard) -> int:
         """Asks every engine that may hold a state; what was asked first tells what the answers prove."""
         asked = [self._ask_holder(engine, f"{guard.request}.{n}") for n, engine in guard.holders.items()]
         return min(await asyncio.gather(*asked), default=0)
@@ -468,7 +468,7 @@
         self.gauges.releases_lost.inc()
         return 0
 
-    async def _is_answered(self, engine: str, guard: RequestGuard) -> bool:
+    async def _ping(self, engine: str, guard: RequestGuard) -> bool:
         link = self.endpoints[engine].link
         return await link.ask(codec.probe_req(link.address), RUNS_WITHIN, fresh=True) is not None
 
@@ -482,12 +482,12 @@
     def _headers(self, pending: ChatRequest) -> dict[str, str]:
         return {"x-request-id": pending.name}
 
-    def _answered(self, pending: ChatRequest, ended: str) -> bool:
-        if not super()._answered(pending, ended):
+    def _set_final_answer(self, pending: ChatRequest, ended: str) -> bool:
+        if not super()._set_final_answer(pending, ended):
             return False
         pending.ended_at = now()
         self.gauges.ended(pending.asked.group, ended)
-        target = self._groups[pending.asked.group].target_of(pending.asked.prompt)
+        target = self._request_classes[pending.asked.group].target_of(pending.asked.prompt)
         late = pending.asked.streamed and pending.first_at - pending.taken_at > target
         if ended != "left":
             self.lately.add(now(), ended == "pushed back", ended != "done" or late)
@@ -505,7 +505,7 @@
             client_id=asked.client_id,
             group=asked.group,
             tenant=asked.tenant,
-            ended=pending.ended,
+            ended=pending.final_answer,
             took_us=pending.ended_at - pending.taken_at,
             first_us=pending.first_at - pending.taken_at if pending.first_at else None,
             prompt=asked.prompt,
@@ -517,7 +517,7 @@
         """The stop's own time is over: what is left is aborted, as loudly as can be."""
         for pending in list(self.pending_requests.values()):
             self._log.error("aborted by the stop", req=pending.name)
-            if self._answered(pending, "aborted"):
+            if self._set_final_answer(pending, "aborted"):
                 if pending.reply.begun:
                     pending.reply.end(chat.error_event("stopping", "this router stops"))
                 else:
@@ -526,6 +526,6 @@
             if pending.attempt:
                 self.cancel(pending.id, pending.attempt.number)
 
-    def _violated(self, rule: Rule, request: str, why: str) -> None:
+    def _on_violation(self, rule: Rule, request: str, why: str) -> None:
         self.gauges.violations.labels(rule.value).inc()
         self._log.error("invariant violated", rule=rule.value, req=request, why=why)
--- a/lifthead/daemon/resuming.py
+++ b/lifthead/daemon/resuming.py
@@ -11,7 +11,7 @@
 from lifthead.daemon.gauges import Gauges
 from lifthead.daemon.requests import ChatAttempt, ChatRequest
 from lifthead.engines.codec import Observation
-from lifthead.hosting import Hosting, now
+from lifthead.hosting import BaseHost, now
 from lifthead.resume.notice import Notice
 from lifthead.resume.rescue import Broken, Draining, Rescue, to_move
 from lifthead.resume.splice import continuation
@@ -20,7 +20,7 @@
 LOOK_EVERY = 0.05  # seconds between looks at running streams
 
 
-class ResumingHost(Hosting):
+class ResumingHost(BaseHost):
     """Added to by lifthead/daemon/host.py, which sets what is declared here."""
 
     gauges: Gauges
@@ -41,7 +41,7 @@
         pending.sent_tokens, pending.before = written.tokens, written.tokens
         pending.broken_at, pending.cause = now(), attempt.lost or observation.name.lower()
         if written.finished:  # only the last events are missing: the answer is whole
-            if self._answered(pending, "done"):
+            if self._set_final_answer(pending, "done"):
                 pending.reply.end(b"data: [DONE]\n\n")
             self.gauges.broken(pending.cause, "whole already")
             return False
@@ -59,7 +59,7 @@
         if why:
             self._break_off(pending, why)
             return False
-        pending.begun, pending.ran = False, (attempt.engine, attempt.sent_at)
+        pending.answer_started, pending.ran = False, (attempt.engine, attempt.sent_at)
         self._streams[pending.serial] = pending
         return True
 
@@ -67,7 +67,7 @@
         """The end of a begun stream that can't go on: an error event, never a silent end."""
         self.rescue.settled(pending.serial)
         self._streams.pop(pending.serial, None)
-        if self._answered(pending, "aborted"):
+        if self._set_final_answer(pending, "aborted"):
             self.gauges.broken(pending.cause or "stopped", "aborted")
             pending.reply.end(chat.error_event("stream_broken", f"the stream can't go on: {why}"))
 
@@ -78,7 +78,7 @@
             pending = self._streams[broken.stream]
             asked, at = pending.asked, now()
             del self.pending_requests[pending.id]
-            pending.id, self._next = self._next, self._next + 1
+            pending.id, self._next_id = self._next_id, self._next_id + 1
             self.pending_requests[pending.id] = pending
             pending.legs, pending.attempts = pending.legs + 1, 0
             pending.body = continuation(asked.body, pending.written)
@@ -91,7 +91,7 @@
         return Broken(
             stream=pending.serial,
             tenant=asked.tenant,
-            group=self._groups[asked.group],
+            group=self._request_classes[asked.group],
             written=written.tokens,
             to_read=asked.prompt + written.tokens,
             left=max(asked.max_out - written.tokens, 1),
@@ -105,7 +105,13 @@
         """Whether a running stream could go on elsewhere. One that could not is left to its writer, which may
         wake, and to the last guard: to cut it would only break it."""
         attempt = pending.attempt if pending else None
-        if not self._resumes or pending is None or attempt is None or not pending.begun or attempt.called_off:
+        if (
+            not self._resumes
+            or pending is None
+            or attempt is None
+            or not pending.answer_started
+            or attempt.cancelled
+        ):
             return False
         return not self.rescue.refusal(self._as_broken(pending, attempt))
 
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -181,7 +181,7 @@
                 if (why := self._closed()) is None and self.quota and not self.quota.take(asked.tenant, most):
                     raise BadReqError(429, "insufficient_quota", f"tenant {asked.tenant} has used its budget")
                 if why is None:
-                    await self.host.take(asked, reply, self.host.waited(message))
+                    await self.host.take(asked, reply, self.host.queueing_time(message))
                 else:  # never taken: no answer is owed later, and nothing was sent for it
                     fields = {"content-type": "application/json", "retry-after": "1", "retry-after-ms": "250"}
                     reply.whole(503, codec.error(503, "not_ready", why), fields)
@@ -221,8 +221,8 @@
                     "req": pending.name,
                     "group": pending.asked.group,
                     "age_ms": (now() - pending.taken_at) // 1000,
-                    "begun": pending.begun,
-                    "at": pending.attempt.engine if pending.attempt else pending.guard.held_at,
+                    "begun": pending.answer_started,
+                    "at": pending.attempt.engine if pending.attempt else pending.guard.holder,
                     "forwards": pending.trail,
                 }
                 for pending in self.host.pending_requests.values()
@@ -281,7 +281,7 @@
     def _drain_engines(self, question: dict[str, Any]) -> dict[str, Any]:
         """Drains engines, takes that back, or with neither tells how far it is."""
         # Limits are turned into this machine's own time by what the wall clock was ahead at the start.
-        wall = now() + self.host.starts.wall_ahead
+        wall = now() + self.host.start_times.wall_offset
         before = copy.deepcopy(self.drains.word)
         try:
             if "selector" in question:
@@ -454,7 +454,7 @@
         daemon.clients.stop()
         try:
             async with asyncio.timeout(limits.stop_within / 1e6):
-                await daemon.host.empty.wait()
+                await daemon.host.idle.wait()
         except TimeoutError:
             daemon.host.give_up_all()
         await _quiet(daemon)
--- a/lifthead/daemon/views.py
+++ b/lifthead/daemon/views.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from lifthead.daemon.requests import ChatEndpoint
-from lifthead.hosting import Hosting, now
+from lifthead.hosting import BaseHost, now
 from lifthead.state import Engine
 
 
@@ -28,19 +28,19 @@
     report_age_ms: int | None
 
 
-def work_at_engines(host: Hosting) -> dict[str, int]:
+def work_at_engines(host: BaseHost) -> dict[str, int]:
     """Attempts in flight and states that wait to be fetched, by engine."""
     found: dict[str, int] = {}
     for pending in host.pending_requests.values():
         engines = {pending.attempt.engine} if pending.attempt else set()
-        if pending.guard.held_at:
-            engines.add(pending.guard.held_at)
+        if pending.guard.holder:
+            engines.add(pending.guard.holder)
         for name in engines:
             found[name] = found.get(name, 0) + 1
     return found
 
 
-def engine_views(host: Hosting) -> list[EngineView]:
+def engine_views(host: BaseHost) -> list[EngineView]:
     """All engines that the decision module knows, by name."""
     at, work = now(), work_at_engines(host)
     known = [(host.endpoints[name], host.router.engines.get(name)) for name in sorted(host.endpoints)]
--- a/lifthead/engines/codec.py
+++ b/lifthead/engines/codec.py
@@ -79,7 +79,7 @@
     }
     if client_id:
         fields["x-client-request-id"] = client_id
-    return http1.head(f"POST {path} HTTP/1.1", fields) + data
+    return http1.encode_head(f"POST {path} HTTP/1.1", fields) + data
 
 
 def read_req(host: str, forward: str, client_id: str, body: dict[str, Any]) -> bytes:
@@ -109,7 +109,7 @@
 
 
 def probe_req(host: str) -> bytes:
-    return http1.head("GET /health HTTP/1.1", {"host": host, "endpoint-load-metrics-format": "JSON"})
+    return http1.encode_head("GET /health HTTP/1.1", {"host": host, "endpoint-load-metrics-format": "JSON"})
 
 
 class _Details(msgspec.Struct):
@@ -342,7 +342,7 @@
         if engine.readiness not in ("ready", "draining", "gone"):
             raise StrangeError(f"engine {engine.name}: readiness {engine.readiness!r:.40}")
         try:
-            http1.address_of(engine.address)
+            http1.parse_address(engine.address)
         except ValueError as problem:
             raise StrangeError(f"engine {engine.name}: {problem}") from None
         if not (math.isfinite(engine.weight) and engine.weight > 0):
--- a/lifthead/engines/link.py
+++ b/lifthead/engines/link.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import deque
 
-from lifthead import http1, peek
+from lifthead import http1, socket_state
 from lifthead.http1 import HttpError, Message
 
 READ = 65_536
@@ -155,7 +155,7 @@
     def reusable(self) -> bool:
         """Whether the next forward may go on it: the answer is whole, and nothing but it has come."""
         parser, head = self.parser, self.parser.head
-        whole = parser.complete and not parser.surplus and head is not None and head.keep_alive
+        whole = parser.complete and not parser.has_surplus and head is not None and head.keep_alive
         return whole and self.quiet
 
     @property
@@ -211,7 +211,9 @@
             del self._unused[connection]
             connection.waited = now - connection.idle_since
             lasts = connection.quiet and connection.waited < self._lasting.span(now)
-            if lasts and not peek.seen(connection.writer, peek.UNREAD):  # the loop may not have read its end
+            if lasts and not socket_state.has_event(
+                connection.writer, socket_state.READABLE
+            ):  # the loop may not have read its end
                 return connection
             connection.abort()
         loop = asyncio.get_running_loop()
--- a/lifthead/engines/listing.py
+++ b/lifthead/engines/listing.py
@@ -26,8 +26,8 @@
         writer = None
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
-            writer.write(http1.head(f"GET /{path} HTTP/1.1", {"host": address, "x-router": router}))
-            lines = http1.Lines(MOST_LINE)
+            writer.write(http1.encode_head(f"GET /{path} HTTP/1.1", {"host": address, "x-router": router}))
+            lines = http1.LineParser(MOST_LINE)
             while not lines.answer.complete:
                 data = await reader.read(READ)
                 if not data:
--- a/lifthead/events.py
+++ b/lifthead/events.py
@@ -16,20 +16,20 @@
 class Event(Enum):
     """What can happen to a request, an attempt of it, and the state that a prefill engine holds for it."""
 
-    TAKEN = "request_taken"
+    ACCEPTED = "request_taken"
     CONNECTING = "attempt_connecting"
-    WRITING = "attempt_writing"
-    WRITTEN = "attempt_written"
+    SENDING = "attempt_writing"
+    SENT = "attempt_written"
     CONFIRMED = "attempt_confirmed"
     ENDED = "attempt_ended"
     CANCELLED = "attempt_cancelled"
-    CLOSED = "connection_closed"
+    CONNECTION_CLOSED = "connection_closed"
     LEASED = "state_leased"
     FETCHED = "state_fetched"
     RELEASING = "state_releasing"
     RELEASED = "state_released"
     RELEASE_UNANSWERED = "release_unanswered"
-    CHECKED = "engine_checked"
+    ENGINE_CHECKED = "engine_checked"
     ANSWERED = "request_answered"
     FORGOTTEN = "request_forgotten"
     VIOLATION = "invariant_violated"
@@ -63,7 +63,7 @@
         self._log = log
         self._ring: deque[Record] = deque(maxlen=size)
 
-    def note(
+    def add(
         self, at: int, event: Event, request: str, attempt: int = -1, engine: str = "", detail: str = ""
     ) -> Record:
         """Keeps an event of the ordinary path in the ring alone."""
@@ -71,23 +71,23 @@
         self._ring.append(record)
         return record
 
-    def report(
+    def add_and_log(
         self, at: int, event: Event, request: str, attempt: int = -1, engine: str = "", detail: str = ""
     ) -> None:
         """Keeps an event and logs it as well: a close, a retry, a rejection, a release or a give-up."""
-        self.log(self.note(at, event, request, attempt, engine, detail))
+        self.log(self.add(at, event, request, attempt, engine, detail))
 
     def log(self, record: Record) -> None:
         """Logs an event that is kept already."""
         self._log.info("%s", record)
 
-    def of(self, request: str) -> list[Record]:
+    def for_request(self, request: str) -> list[Record]:
         """The events of one request that are still remembered, oldest first."""
         return [record for record in self._ring if record.request == request]
 
     def dump(self, reason: str, request: str | None = None) -> None:
         """Logs the ring, or what it holds of one request."""
-        records = list(self._ring) if request is None else self.of(request)
+        records = list(self._ring) if request is None else self.for_request(request)
         self._log.warning("event ring: %s, %d events", reason, len(records))
         for record in records:
             self._log.warning("ring %s", record)
--- a/lifthead/fleet/health.py
+++ b/lifthead/fleet/health.py
@@ -58,16 +58,16 @@
     writer: asyncio.StreamWriter,
 ) -> None:
     """/live, /ready and /metrics, one answer a connection."""
-    parser = http1.ReqParser(8192, 8192)
+    parser = http1.RequestParser(8192, 8192)
     with contextlib.suppress(ConnectionError, TimeoutError, HttpError):
         async with asyncio.timeout(5):
-            while not parser.ready:
+            while not parser.requests:
                 data = await reader.read(8192)
                 if not data:
                     break
                 parser.feed(data)
             else:
-                path = parser.ready[0].path.partition("?")[0]
+                path = parser.requests[0].path.partition("?")[0]
                 now = condition()
                 status, body = {
                     "/live": (200, b"live\n"),
@@ -79,6 +79,6 @@
                     "content-length": str(len(body)),
                     "connection": "close",
                 }
-                writer.write(http1.answer_head(status, fields) + body)
+                writer.write(http1.encode_answer_head(status, fields) + body)
                 await writer.drain()
     writer.close()
--- a/lifthead/guard.py
+++ b/lifthead/guard.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from lifthead.held_audit import Entry, Fact, longest_unclaimed
+from lifthead.held_audit import Entry, Fact, longest_unconfirmed_hold
 from lifthead.interface import Effect
 from lifthead.releases import ReleaseSchedule
 
-HELD_SLACK = 300_000  # what the platform allows beyond the settings' time for a held state
-ANSWER_SLACK = 500_000  # an answer may be this late: it earns nothing, and is not lost
+HELD_STATE_SLACK = 300_000  # what the platform allows beyond the settings' time for a held state
+FINAL_ANSWER_SLACK = 500_000  # an answer may be this late: it earns nothing, and is not lost
 NEVER = 1 << 62
 
 
@@ -35,13 +35,13 @@
     """How far an attempt is known to have come."""
 
     CONNECTING = "connecting"
-    WRITING = "writing"
-    WRITTEN = "written"  # the last byte was given to the system
+    SENDING = "writing"
+    SENT = "written"  # the last byte was given to the system
     CONFIRMED = "confirmed"  # something came back
     ENDED = "ended"
 
 
-class HeldState(Enum):
+class HeldStateStatus(Enum):
     """What is known of a state at a prefill engine."""
 
     POSSIBLE = "possible"  # an attempt that did not end well may have left one
@@ -56,7 +56,7 @@
 
     ANSWERED = "the request has its final answer"
     ENGINE_NOT_READY = "the engine drains or is gone"
-    TOO_LATE = "its time is over"
+    PAST_DEADLINE = "its time is over"
     CLIENT_GONE = "the client has gone"
     STATE_RELEASED = "the state that it should fetch was released"
 
@@ -66,7 +66,7 @@
 
     PREFILL = "prefill"  # has no effect, leaves a state
     FETCH = "fetch"  # decodes from a state
-    WHOLE = "whole"  # reads the prompt and decodes
+    PREFILL_AND_DECODE = "whole"  # reads the prompt and decodes
 
 
 class Violations:
@@ -85,12 +85,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class HeldState:
     """A state that an engine holds, or may hold, for a request."""
 
     holder: str
-    state: HeldState = HeldState.LEASED
-    attempt: int = 0  # the prefill that left it
+    status: HeldStateStatus = HeldStateStatus.LEASED
+    prefill_serial: int = 0  # the prefill that left it
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
@@ -103,65 +103,65 @@
     send_by: int  # later than this it must not be sent
     sent_at: int
     serial: int = 0  # among all of the request, by its guard
-    told_until: int = 0  # how long its engine was told that it would be waited for
+    announced_deadline: int = 0  # how long its engine was told that it would be waited for
     state: AttemptState = AttemptState.CONNECTING
-    called_off: bool = False
+    cancelled: bool = False
 
     @property
-    def reading(self) -> bool:
+    def is_prefill(self) -> bool:
         return self.work is Work.PREFILL
 
     @property
-    def is_written(self) -> bool:
+    def may_have_arrived(self) -> bool:
         """Whether some of it may have reached its engine."""
         return self.state not in (AttemptState.CONNECTING, AttemptState.ENDED)
 
 
 @dataclass(slots=True, eq=False)
 class RequestGuard:
-    """`allowed`: how long a state may be held while no attempt has arrived, 0 without limit."""
+    """`held_state_limit`: how long a state may be held while no attempt has arrived, 0 without limit."""
 
     request: str
     effect: Effect
-    due_at: int
-    allowed: int
+    deadline: int
+    held_state_limit: int
     violations: Violations
     attempt: Attempt | None = None  # in flight
-    held: Held | None = None  # the latest
-    final: str = ""  # the final answer, in one word
+    held_state: HeldState | None = None  # the latest
+    final_answer: str = ""  # the final answer, in one word
     may_have_run: bool = False
-    begun: bool = False  # the answer has reached the client in part
+    answer_started: bool = False  # the answer has reached the client in part
     releases: ReleaseSchedule = field(init=False)
     # Of prefills that may have left a state: the engine, by serial number.
-    _prefills: dict[int, str] = field(default_factory=dict)
+    _holders: dict[int, str] = field(default_factory=dict)
     # Closed before they were answered, and their engines have not shown that they saw it; by serial number.
-    _unshown: dict[int, Attempt] = field(default_factory=dict)
-    _started: int = 0
-    _facts: list[Entry] = field(default_factory=list)
-    _reported: bool = field(default=False)
+    _undetected_closes: dict[int, Attempt] = field(default_factory=dict)
+    _attempts_started: int = 0
+    _audit_entries: list[Entry] = field(default_factory=list)
+    _overdue_reported: bool = field(default=False)
 
     def __post_init__(self) -> None:
-        self.releases = ReleaseSchedule(self.allowed)
+        self.releases = ReleaseSchedule(self.held_state_limit)
 
     @property
-    def held_at(self) -> str:
+    def holder(self) -> str:
         """The engine where a state is, or may be, held; "" if there is none."""
-        return self.held.holder if self.held and self.releases.open else ""
+        return self.held_state.holder if self.held_state and self.releases.open else ""
 
     @property
     def holders(self) -> dict[int, str]:
         """The engines that may hold a state, by the serial number of the prefill that may have left it."""
-        return dict(self._prefills) if self.releases.open else {}
+        return dict(self._holders) if self.releases.open else {}
 
     @property
-    def has_held(self) -> bool:
+    def had_held_state(self) -> bool:
         """Whether a state was, or may have been, held for it."""
-        return bool(self._facts)
+        return bool(self._audit_entries)
 
     @property
     def is_leased(self) -> bool:
         """Whether a state waits for a call to fetch it."""
-        return self.held is not None and self.held.state is HeldState.LEASED
+        return self.held_state is not None and self.held_state.status is HeldStateStatus.LEASED
 
     # Attempts.
 
@@ -170,167 +170,177 @@
             why = f"{attempt.engine} beside {self.attempt.engine}"
             self.violations.add(Rule.SINGLE_EFFECT, self.request, why)
         self.attempt = attempt
-        attempt.serial, self._started = self._started, self._started + 1
+        attempt.serial, self._attempts_started = self._attempts_started, self._attempts_started + 1
 
     def refusal(self, attempt: Attempt, now: int, ready: bool, client_gone: bool) -> Refusal | None:
         """Why this attempt may not be sent now, None if it may. To be asked in the instant before."""
         if not ready:
             return Refusal.ENGINE_NOT_READY
         if now >= attempt.send_by:
-            return Refusal.TOO_LATE
+            return Refusal.PAST_DEADLINE
         if client_gone:
             return Refusal.CLIENT_GONE
-        if self.final:
+        if self.final_answer:
             return Refusal.ANSWERED
         if attempt.work is Work.FETCH and not self.is_leased:
             return Refusal.STATE_RELEASED
         return None
 
-    def writing(self, attempt: Attempt, now: int, ready: bool = True) -> None:
+    def on_sending(self, attempt: Attempt, now: int, ready: bool = True) -> None:
         """Its first byte goes out, to an engine that is ready for new work or is not."""
-        attempt.state, attempt.sent_at = AttemptState.WRITING, now
+        attempt.state, attempt.sent_at = AttemptState.SENDING, now
         if not ready:
             self.violations.add(Rule.DRAIN, self.request, f"sent to {attempt.engine}, which is not ready")
-        if self.final:
-            self.violations.add(Rule.FINAL_ANSWER, self.request, f"sent after {self.final}")
-        if attempt.reading:
-            self.held = Held(attempt.engine, HeldState.POSSIBLE, attempt.serial)
-            self._prefills[attempt.serial] = attempt.engine
+        if self.final_answer:
+            self.violations.add(Rule.FINAL_ANSWER, self.request, f"sent after {self.final_answer}")
+        if attempt.is_prefill:
+            self.held_state = HeldState(attempt.engine, HeldStateStatus.POSSIBLE, attempt.serial)
+            self._holders[attempt.serial] = attempt.engine
         elif self.may_have_run and self.effect is Effect.NON_REPLAYABLE:
             self.violations.add(Rule.SINGLE_EFFECT, self.request, f"sent again, to {attempt.engine}")
-        self.releases.sending(attempt.serial, now, attempt.reading)
-        self._note(now, Fact.PREFILL_SENT if attempt.reading else Fact.CALL_SENT, attempt)
+        self.releases.sending(attempt.serial, now, attempt.is_prefill)
+        self._add_audit_entry(now, Fact.PREFILL_SENT if attempt.is_prefill else Fact.DECODE_SENT, attempt)
 
-    def written(self, attempt: Attempt) -> None:
-        attempt.state = AttemptState.WRITTEN
+    def on_sent(self, attempt: Attempt) -> None:
+        attempt.state = AttemptState.SENT
 
-    def confirmed_by(self, attempt: Attempt) -> None:
+    def on_confirmed(self, attempt: Attempt) -> None:
         """The head of an answer came back: the attempt has arrived."""
         attempt.state = AttemptState.CONFIRMED
 
-    def ended(self, attempt: Attempt, now: int, proven_not_run: bool, answered: bool) -> None:
+    def on_ended(self, attempt: Attempt, now: int, proven_not_run: bool, answered: bool) -> None:
         """It is over, and its connection is given back or closed. `answered`: by its engine, in whole."""
-        is_written = attempt.is_written
-        proven_not_run = proven_not_run or not is_written
-        if not attempt.reading and not proven_not_run:
+        may_have_arrived = attempt.may_have_arrived
+        proven_not_run = proven_not_run or not may_have_arrived
+        if not attempt.is_prefill and not proven_not_run:
             self.may_have_run = True
         attempt.state, self.attempt = AttemptState.ENDED, None
-        if not is_written:
+        if not may_have_arrived:
             self.releases.never_sent(now)
             return
-        if attempt.reading and self.held and self.is_leased and self.held.attempt == attempt.serial:
+        if (
+            attempt.is_prefill
+            and self.held_state
+            and self.is_leased
+            and self.held_state.prefill_serial == attempt.serial
+        ):
             return
         if not answered:
-            goes_on_for = max(attempt.told_until - attempt.sent_at, 0) if attempt.reading else 0
-            self.releases.closed(attempt.serial, now, attempt.told_until, attempt.engine, goes_on_for)
-            self._unshown[attempt.serial] = attempt
-            self._note(now, Fact.CLOSED, attempt)
-        elif attempt.reading and proven_not_run:
-            self._prefills.pop(attempt.serial, None)
+            may_run_for = max(attempt.announced_deadline - attempt.sent_at, 0) if attempt.is_prefill else 0
+            self.releases.closed(attempt.serial, now, attempt.announced_deadline, attempt.engine, may_run_for)
+            self._undetected_closes[attempt.serial] = attempt
+            self._add_audit_entry(now, Fact.CLOSED, attempt)
+        elif attempt.is_prefill and proven_not_run:
+            self._holders.pop(attempt.serial, None)
             self.releases.left_nothing(attempt.serial)
-            self._note(now, Fact.NOT_RUN, attempt)
+            self._add_audit_entry(now, Fact.NOT_RUN, attempt)
         else:
             self.releases.answered(attempt.serial, now)
-            self._note(now, Fact.ANSWERED, attempt)
-        self._still_possible()
+            self._add_audit_entry(now, Fact.ANSWERED, attempt)
+        self._update_held_state()
 
-    def end_shown(self, attempt: Attempt, now: int) -> None:
+    def on_peer_closed(self, attempt: Attempt, now: int) -> None:
         """The engine has ended its side of an attempt's connection that was closed."""
         self.releases.end_shown(attempt.serial, now)
-        if self._unshown.pop(attempt.serial, None):
-            self._note(now, Fact.END_SHOWN, attempt)
+        if self._undetected_closes.pop(attempt.serial, None):
+            self._add_audit_entry(now, Fact.PEER_CLOSED, attempt)
 
-    def engine_runs(self, engine: str, asked_at: int, now: int) -> None:
+    def on_engine_alive(self, engine: str, asked_at: int, now: int) -> None:
         """An engine has answered what it was sent at `asked_at`, or its process has ended: past the time that
         it was told, it gives up what it did not see closed."""
         self.releases.engine_runs(engine, asked_at, now)
-        for attempt in list(self._unshown.values()):
-            if attempt.engine == engine and asked_at >= attempt.told_until:
-                del self._unshown[attempt.serial]
-                self._note(now, Fact.ENGINE_RUNS, attempt)
+        for attempt in list(self._undetected_closes.values()):
+            if attempt.engine == engine and asked_at >= attempt.announced_deadline:
+                del self._undetected_closes[attempt.serial]
+                self._add_audit_entry(now, Fact.ENGINE_ALIVE, attempt)
 
-    def _still_possible(self) -> None:
+    def _update_held_state(self) -> None:
         """A state that a release has not ended, as far as is proven, waits for another."""
-        if self.held and not self.releases.open:
-            self.held.state = HeldState.RELEASED
-        elif self.held and self.held.state in (HeldState.RELEASING, HeldState.RELEASED):
-            self.held.state = HeldState.POSSIBLE
+        if self.held_state and not self.releases.open:
+            self.held_state.status = HeldStateStatus.RELEASED
+        elif self.held_state and self.held_state.status in (
+            HeldStateStatus.RELEASING,
+            HeldStateStatus.RELEASED,
+        ):
+            self.held_state.status = HeldStateStatus.POSSIBLE
 
     # The held state.
 
-    def leased(self, attempt: Attempt, now: int) -> None:
+    def on_leased(self, attempt: Attempt, now: int) -> None:
         """The prefill has ended well."""
-        self.held = Held(attempt.engine, attempt=attempt.serial)
-        self._prefills[attempt.serial] = attempt.engine
+        self.held_state = HeldState(attempt.engine, prefill_serial=attempt.serial)
+        self._holders[attempt.serial] = attempt.engine
         self.releases.leased(attempt.serial, now)
-        self._note(now, Fact.READ, attempt)
+        self._add_audit_entry(now, Fact.LEASED, attempt)
 
-    def fetched(self, attempt: Attempt, now: int) -> None:
+    def on_first_token(self, attempt: Attempt, now: int) -> None:
         """The first token came. A call that was to fetch the state has taken it; one that has read the prompt
         itself says nothing of what may be held."""
-        self.begun = True
+        self.answer_started = True
         if attempt.work is not Work.FETCH:
             self.releases.begun(attempt.serial)
-            self._note(now, Fact.ANSWERED, attempt)
+            self._add_audit_entry(now, Fact.ANSWERED, attempt)
             return
-        if self.held and self.is_leased:
-            self.held.state = HeldState.FETCHED
-        self.releases.fetched(attempt.serial, set(self._prefills))
-        self._note(now, Fact.FIRST_TOKEN, attempt)
+        if self.held_state and self.is_leased:
+            self.held_state.status = HeldStateStatus.FETCHED
+        self.releases.fetched(attempt.serial, set(self._holders))
+        self._add_audit_entry(now, Fact.FIRST_TOKEN, attempt)
 
-    def state_gone(self) -> None:
+    def on_state_gone(self) -> None:
         """The engine that was asked to fetch it says that there is none. Its holder may only be cut off or
         held up, and hold it still."""
         self.releases.gone()
-        if self.held and self.is_leased:
-            self.held.state = HeldState.POSSIBLE
+        if self.held_state and self.is_leased:
+            self.held_state.status = HeldStateStatus.POSSIBLE
 
-    def release_wanted(self, now: int) -> None:
+    def request_release(self, now: int) -> None:
         """The request needs no state any more, or its state has been held for long enough."""
-        self.releases.wanted(now, self.attempt is not None and self.attempt.called_off)
+        self.releases.wanted(now, self.attempt is not None and self.attempt.cancelled)
 
-    def release_sent(self, now: int) -> None:
+    def on_release_sent(self, now: int) -> None:
         """A release goes out; it proves nothing yet."""
         self.releases.sent(now)
-        if self.held and self.held.state in (HeldState.POSSIBLE, HeldState.LEASED):
-            self.held.state = HeldState.RELEASING
+        if self.held_state and self.held_state.status in (HeldStateStatus.POSSIBLE, HeldStateStatus.LEASED):
+            self.held_state.status = HeldStateStatus.RELEASING
 
-    def release_taken(self, asked_at: int) -> bool:
+    def on_release_answered(self, asked_at: int) -> bool:
         """An engine has answered the release that it was sent then. True if nothing is held from now on."""
-        self._facts.append(Entry(asked_at, Fact.RELEASE_TAKEN))
+        self._audit_entries.append(Entry(asked_at, Fact.RELEASE_ANSWERED))
         over = self.releases.release_answered(asked_at)
         if over:
-            self._prefills.clear()
-        if over and self.held and self.held.state is not HeldState.FETCHED:
-            self.held.state = HeldState.RELEASED
+            self._holders.clear()
+        if over and self.held_state and self.held_state.status is not HeldStateStatus.FETCHED:
+            self.held_state.status = HeldStateStatus.RELEASED
         return over
 
-    def _note(self, now: int, fact: Fact, attempt: Attempt) -> None:
-        if self._prefills or self._facts:
-            self._facts.append(Entry(now, fact, attempt.serial))
+    def _add_audit_entry(self, now: int, fact: Fact, attempt: Attempt) -> None:
+        if self._holders or self._audit_entries:
+            self._audit_entries.append(Entry(now, fact, attempt.serial))
 
-    def overdue(self, now: int) -> bool:
+    def check_overdue(self, now: int) -> bool:
         """Checks, once, whether a state may have been held for too long; True if it may."""
-        if self._reported or not self.allowed or not self._facts:
+        if self._overdue_reported or not self.held_state_limit or not self._audit_entries:
             return False
-        kept = longest_unclaimed(self._facts, now, self.allowed)
-        if kept <= self.allowed + HELD_SLACK:
+        held_for = longest_unconfirmed_hold(self._audit_entries, now, self.held_state_limit)
+        if held_for <= self.held_state_limit + HELD_STATE_SLACK:
             return False
-        self._reported = True
-        holder = self.held.holder if self.held else ""
-        self.violations.add(Rule.HELD_STATE, self.request, f"may be held at {holder} for {kept // 1000} ms")
+        self._overdue_reported = True
+        holder = self.held_state.holder if self.held_state else ""
+        self.violations.add(
+            Rule.HELD_STATE, self.request, f"may be held at {holder} for {held_for // 1000} ms"
+        )
         return True
 
     # The final answer.
 
-    def answer(self, final: str, now: int) -> bool:
+    def set_final_answer(self, answer: str, now: int) -> bool:
         """The one place that a final answer passes. False: there was one already."""
-        if self.final:
+        if self.final_answer:
             return False
-        self.final = final
-        if not self.begun and final != "left" and now > self.due_at + ANSWER_SLACK:
-            late_ms = (now - self.due_at) // 1000
-            self.violations.add(Rule.FINAL_ANSWER, self.request, f"{final} {late_ms} ms late")
-        if final == "pushed back" and self.may_have_run and self.effect is Effect.NON_REPLAYABLE:
+        self.final_answer = answer
+        if not self.answer_started and answer != "left" and now > self.deadline + FINAL_ANSWER_SLACK:
+            late_ms = (now - self.deadline) // 1000
+            self.violations.add(Rule.FINAL_ANSWER, self.request, f"{answer} {late_ms} ms late")
+        if answer == "pushed back" and self.may_have_run and self.effect is Effect.NON_REPLAYABLE:
             self.violations.add(Rule.SINGLE_EFFECT, self.request, "rejected, though it may have run")
         return True
--- a/lifthead/http1.py
+++ b/lifthead/http1.py
@@ -15,16 +15,16 @@
 
 _HOST = re.compile(r"[0-9A-Za-z._-]{1,253}").fullmatch
 _PORT = re.compile(r"[0-9]{1,5}").fullmatch
-MOST_ANNOUNCED = 8  # answers of 1xx before the one that was asked for
+MAX_INFORMATIONAL = 8  # answers of 1xx before the one that was asked for
 
 
 class HttpError(Exception):
     """The peer's bytes can't be used; carries the status to answer with."""
 
-    def __init__(self, status: int, said: str) -> None:
-        super().__init__(said)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
-        self.said = said
+        self.reason = reason
 
 
 @dataclass(slots=True)
@@ -37,159 +37,160 @@
     headers: Headers = field(default_factory=dict)
     body: bytes = b""
     keep_alive: bool = True
-    came_at: float = 0.0  # when its last byte came, by the clock of whoever feeds the parser
+    received_at: float = 0.0  # when its last byte came, by the clock of whoever feeds the parser
 
 
 class _Parser:
     """What both directions share: headers, and the bound on their size."""
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
-        self._most_header, self._most_body = header_bytes, body_bytes
-        self._begin()
+        self._max_header_bytes, self._max_body_bytes = header_bytes, body_bytes
+        self._reset()
 
-    def _begin(self) -> None:
-        self._in_head, self._head_size, self._body_size, self._fed = True, 0, 0, 0
-        self._now = Message()
+    def _reset(self) -> None:
+        self._in_head, self._head_bytes, self._body_bytes, self._head_bytes_fed = True, 0, 0, 0
+        self._message = Message()
 
     @property
     def partial(self) -> bool:
         """Whether some bytes of an unfinished message have come."""
-        return self._head_size > 0
+        return self._head_bytes > 0
 
     @property
     def in_head(self) -> bool:
         return self._in_head
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._head_size += len(name) + len(value) + 4
-        if self._head_size > self._most_header:
-            raise HttpError(431, f"headers are over {self._most_header} bytes")
+        self._head_bytes += len(name) + len(value) + 4
+        if self._head_bytes > self._max_header_bytes:
+            raise HttpError(431, f"headers are over {self._max_header_bytes} bytes")
         key, text = name.decode("latin-1").lower(), value.decode("latin-1")
-        before = self._now.headers.get(key)
-        self._now.headers[key] = text if before is None else f"{before}, {text}"
+        before = self._message.headers.get(key)
+        self._message.headers[key] = text if before is None else f"{before}, {text}"
 
     def on_headers_complete(self) -> None:
         self._in_head = False
-        self._now.keep_alive = self._llhttp.should_keep_alive()
+        self._message.keep_alive = self._llhttp.should_keep_alive()
 
     def feed(self, data: bytes) -> None:
         """Takes the peer's next bytes; HttpError if they break the protocol or a bound."""
-        head = self._now if self._in_head else None
+        head = self._message if self._in_head else None
         try:
             self._llhttp.feed_data(data)
         except httptools.HttpParserUpgrade:
             raise HttpError(400, "a change of protocol is not offered") from None
-        except httptools.HttpParserError as problem:
-            cause = problem.__context__
+        except httptools.HttpParserError as error:
+            cause = error.__context__
             if isinstance(cause, HttpError):
                 raise cause from None
-            raise HttpError(400, f"not HTTP: {str(problem)[:120]}") from None
-        if self._in_head and self._now is head:
+            raise HttpError(400, f"not HTTP: {str(error)[:120]}") from None
+        if self._in_head and self._message is head:
             # Guards against one header without end, of which no callback tells before it is whole.
-            self._fed += len(data)
-            if self._fed > self._most_header:
-                raise HttpError(431, f"headers are over {self._most_header} bytes")
+            self._head_bytes_fed += len(data)
+            if self._head_bytes_fed > self._max_header_bytes:
+                raise HttpError(431, f"headers are over {self._max_header_bytes} bytes")
 
 
-class ReqParser(_Parser):
-    """The server's side. Whole reqs stand in `ready`, in order."""
+class RequestParser(_Parser):
+    """Parses requests on a server's connection. Complete requests wait in `requests`, in order."""
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
         self._llhttp = httptools.HttpRequestParser(self)
-        self.ready: deque[Message] = deque()
-        self.broken: HttpError | None = None  # what came behind those in `ready` can't be read
-        self._body: list[bytes] = []
-        self._at = 0.0
+        self.requests: deque[Message] = deque()
+        self.error: HttpError | None = None  # why what follows those in `requests` can't be parsed
+        self._body_parts: list[bytes] = []
+        self._received_at = 0.0
         super().__init__(header_bytes, body_bytes)
 
-    def take(self, data: bytes, at: float = 0.0) -> None:
-        """As `feed`, but what can't be read is told in its turn, behind the requests that are whole. `at`:
-        when the bytes came."""
-        self._at = at
+    def feed_pipelined(self, data: bytes, at: float = 0.0) -> None:
+        """As `feed`, but an error is stored in `error` and reported after the complete requests before it.
+        `at`: when the bytes came."""
+        self._received_at = at
         try:
-            if not self.broken:
+            if not self.error:
                 self.feed(data)
-        except HttpError as problem:
-            self.broken = problem
+        except HttpError as error:
+            self.error = error
 
     def on_message_begin(self) -> None:
-        self._begin()
-        self._body = []
-        self._head_size = 1
+        self._reset()
+        self._body_parts = []
+        self._head_bytes = 1
 
     def on_url(self, url: bytes) -> None:
-        self._head_size += len(url)
-        if self._head_size > self._most_header:
-            raise HttpError(431, f"headers are over {self._most_header} bytes")
-        self._now.path += url.decode("latin-1")
+        self._head_bytes += len(url)
+        if self._head_bytes > self._max_header_bytes:
+            raise HttpError(431, f"headers are over {self._max_header_bytes} bytes")
+        self._message.path += url.decode("latin-1")
 
     def on_headers_complete(self) -> None:
         super().on_headers_complete()
-        told = self._now.headers.get("content-length", "0")
-        if told.isdigit() and int(told) > self._most_body:
-            raise HttpError(413, f"the body is over {self._most_body} bytes")
+        announced = self._message.headers.get("content-length", "0")
+        if announced.isdigit() and int(announced) > self._max_body_bytes:
+            raise HttpError(413, f"the body is over {self._max_body_bytes} bytes")
 
     def on_body(self, data: bytes) -> None:
-        self._body_size += len(data)
-        if self._body_size > self._most_body:
-            raise HttpError(413, f"the body is over {self._most_body} bytes")
-        self._body.append(data)
+        self._body_bytes += len(data)
+        if self._body_bytes > self._max_body_bytes:
+            raise HttpError(413, f"the body is over {self._max_body_bytes} bytes")
+        self._body_parts.append(data)
 
     def on_message_complete(self) -> None:
-        self._now.method = self._llhttp.get_method().decode("latin-1")
-        self._now.body = b"".join(self._body)
-        self._now.came_at = self._at
-        self._body = []  # a kept connection holds nothing of what went over it
-        self.ready.append(self._now)
-        self._begin()
+        self._message.method = self._llhttp.get_method().decode("latin-1")
+        self._message.body = b"".join(self._body_parts)
+        self._message.received_at = self._received_at
+        self._body_parts = []  # a kept connection holds nothing of what went over it
+        self.requests.append(self._message)
+        self._reset()
 
 
 class AnswerParser(_Parser):
-    """The client's side: `head` once it is whole, body bytes as they come, `complete` at the end. Answers
-    that only announce another (1xx) are passed over; `surplus` tells that bytes came behind the end, which
-    belong to nothing that was asked for."""
+    """Parses one answer on a client's connection.
+
+    `head` is set once the head is complete, and `complete` at the end of the body. Informational answers (1xx)
+    are skipped. `has_surplus` is set when bytes follow the end of the answer: they belong to no request."""
 
     def __init__(self, header_bytes: int = 65_536, chunk_bytes: int = 1 << 30) -> None:
         self._llhttp = httptools.HttpResponseParser(self)
         self.head: Message | None = None
-        self.complete = self.surplus = False
-        self._body: list[bytes] = []
-        self._most_chunk, self._chunk_size = chunk_bytes, 0
-        self._announced = 0
+        self.complete = self.has_surplus = False
+        self._body_parts: list[bytes] = []
+        self._max_chunk_bytes, self._chunk_bytes = chunk_bytes, 0
+        self._informational = 0
         super().__init__(header_bytes, 0)
 
     def on_message_begin(self) -> None:
         if self.complete:
-            self.surplus = True
+            self.has_surplus = True
         else:
-            self._begin()
+            self._reset()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.surplus:
+        if not self.has_surplus:
             super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
-        if self.surplus:
+        if self.has_surplus:
             return
         super().on_headers_complete()
-        self._now.status = self._llhttp.get_status_code()
-        if self._now.status >= 200:
-            self.head = self._now
+        self._message.status = self._llhttp.get_status_code()
+        if self._message.status >= 200:
+            self.head = self._message
             return
-        self._announced += 1
-        if self._now.status == 101 or self._announced > MOST_ANNOUNCED:
+        self._informational += 1
+        if self._message.status == 101 or self._informational > MAX_INFORMATIONAL:
             raise HttpError(502, "an answer that only announces others")
 
     def on_chunk_header(self) -> None:
-        self._chunk_size = 0
+        self._chunk_bytes = 0
 
     def on_body(self, data: bytes) -> None:
-        if self.surplus:
+        if self.has_surplus:
             return
-        self._chunk_size += len(data)
-        if self._chunk_size > self._most_chunk:
-            raise HttpError(502, f"a chunk is over {self._most_chunk} bytes")
-        self._body.append(data)
+        self._chunk_bytes += len(data)
+        if self._chunk_bytes > self._max_chunk_bytes:
+            raise HttpError(502, f"a chunk is over {self._max_chunk_bytes} bytes")
+        self._body_parts.append(data)
 
     def on_message_complete(self) -> None:
         if self.head is not None:
@@ -198,39 +199,40 @@
     def feed(self, data: bytes) -> None:
         """As with any message; what follows a whole answer is marked and never an error."""
         if self.complete:
-            self.surplus = True
+            self.has_surplus = True
             return
         try:
             super().feed(data)
         except HttpError:
             if not self.complete:
                 raise
-            self.surplus = True
+            self.has_surplus = True
 
     def body(self) -> bytes:
         """What has come of the body since the last call."""
-        data, self._body = b"".join(self._body), []
+        data, self._body_parts = b"".join(self._body_parts), []
         return data
 
 
-class Lines:
+class LineParser:
     """The lines of one answer's body, as its bytes come."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_line_bytes: int) -> None:
         self.answer = AnswerParser()
-        self._most = most
-        self._left = b""
+        self._max_line_bytes = max_line_bytes
+        self._partial_line = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Lines that are whole now; HttpError if the bytes break the protocol or one is over `most`."""
+        """Returns the lines that are complete now. Raises HttpError if the bytes break the protocol or a line
+        is over `max_line_bytes`."""
         self.answer.feed(data)
-        *lines, self._left = (self._left + self.answer.body()).split(b"\n")
-        if len(self._left) > self._most:
-            raise HttpError(502, f"a line is over {self._most} bytes")
+        *lines, self._partial_line = (self._partial_line + self.answer.body()).split(b"\n")
+        if len(self._partial_line) > self._max_line_bytes:
+            raise HttpError(502, f"a line is over {self._max_line_bytes} bytes")
         return lines
 
 
-def address_of(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """HOST:PORT; ValueError if it is none, or one that no connection could be asked for."""
     host, _, port = text.rpartition(":")
     # Anything else fails otherwise than by OSError when it is connected to.
@@ -240,20 +242,20 @@
     return host, int(port)
 
 
-def head(first: str, headers: Headers) -> bytes:
+def encode_head(first: str, headers: Headers) -> bytes:
     lines = [first, *(f"{name}: {value}" for name, value in headers.items())]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1", "replace")
 
 
-def answer_head(status: int, headers: Headers) -> bytes:
+def encode_answer_head(status: int, headers: Headers) -> bytes:
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
         phrase = "-"
-    return head(f"HTTP/1.1 {status} {phrase}", headers)
+    return encode_head(f"HTTP/1.1 {status} {phrase}", headers)
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
--- a/lifthead/ledger/export.py
+++ b/lifthead/ledger/export.py
@@ -13,7 +13,7 @@
 import pyarrow.parquet as pq
 
 from lifthead.engines.link import Link
-from lifthead.http1 import head
+from lifthead.http1 import encode_head
 from lifthead.ledger.entries import Correction, Entry, Usage
 
 SCHEMA_VERSION = 1
@@ -143,7 +143,9 @@
     }
     link = Link(address, 1.0)
     try:
-        answer = await link.ask(head(f"PUT /{path}/{manifest['batch']} HTTP/1.1", fields) + data, within)
+        answer = await link.ask(
+            encode_head(f"PUT /{path}/{manifest['batch']} HTTP/1.1", fields) + data, within
+        )
     finally:
         link.close()
     return answer is not None and answer[0].status in (200, 201, 204)
--- a/lifthead/node/discovery.py
+++ b/lifthead/node/discovery.py
@@ -95,7 +95,7 @@
     """An engine in a state that is not known here, or without an address, gets nothing new."""
     state, address, size = target.state, target.endpoint, target.capacity_hint
     try:
-        http1.address_of(address)
+        http1.parse_address(address)
     except ValueError as problem:
         if state != "gone":
             odd.append(f"engine {target.uid!r:.40}: {problem}")
@@ -219,8 +219,8 @@
                 return
             # What changed since may be odd each time it is asked for: then the whole list is.
             path = f"/v1/endpoints?stream=1&index={self.version if self._strange < 2 else 0}"
-            writer.write(http1.head(f"GET {path} HTTP/1.1", {"host": address[0]}))
-            lines, gathering = http1.Lines(MOST_OBJECT), Gathering()
+            writer.write(http1.encode_head(f"GET {path} HTTP/1.1", {"host": address[0]}))
+            lines, gathering = http1.LineParser(MOST_OBJECT), Gathering()
             # Bytes alone show no life: half a line, or an object that never ends, is as good as silence.
             async with asyncio.timeout(SILENT_FOR) as silence:
                 while not lines.answer.complete:
--- a/lifthead/node/engines.py
+++ b/lifthead/node/engines.py
@@ -75,7 +75,7 @@
         if name == ID or not (name in OF_ONE_HOP or name in ends_here):
             headers[name] = value
     headers |= {EXPIRES: str(max(waits // 1000, 1)), "content-length": str(len(message.body))}
-    return http1.head(f"{message.method} {message.path} HTTP/1.1", headers) + message.body
+    return http1.encode_head(f"{message.method} {message.path} HTTP/1.1", headers) + message.body
 
 
 def release(client_id: str) -> bytes:
--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -18,7 +18,7 @@
 from lifthead.engines.link import Connection, Lasting, Link, UnwrittenError
 from lifthead.events import Event, EventLog, Record
 from lifthead.guard import RequestGuard, Rule, Work
-from lifthead.hosting import AttemptInFlight, Hosting, now, wall_ahead
+from lifthead.hosting import AttemptInFlight, BaseHost, now, wall_clock_offset
 from lifthead.http1 import HttpError, Message
 from lifthead.interface import Effect, LoadReport
 from lifthead.node import clients, engines
@@ -57,7 +57,7 @@
     said: set[str] = field(default_factory=set)  # what was logged of it
 
 
-class Host(Hosting):
+class Host(BaseHost):
     endpoint_type = Endpoint
 
     def __init__(self, start: Start, tasks: asyncio.TaskGroup) -> None:
@@ -77,17 +77,19 @@
 
     def on_news(self, news: News) -> None:
         """Discovery's word. What is left out of a whole list counts as gone."""
-        at, ahead, entries = now(), wall_ahead(), []
+        at, ahead, entries = now(), wall_clock_offset(), []
         for entry, address in news.entries:
             known = self.endpoints.get(entry.engine)
             if address or known:  # without an address, only what is known already can be told of
                 address = address or known.link.address
-                self._note(entry.engine, address, entry.kind, entry.readiness, at).zone = entry.zone
-                up_since = self.starts.up_since(entry.engine, entry.up_since, at, ahead)
+                self._update_endpoint(
+                    entry.engine, address, entry.kind, entry.readiness, at
+                ).zone = entry.zone
+                up_since = self.start_times.up_since(entry.engine, entry.up_since, at, ahead)
                 entries.append(replace(entry, up_since=up_since))
-        self.starts.listed(at)
+        self.start_times.on_list(at)
         if news.whole:
-            self._only({entry.engine for entry in entries}, at)
+            self._mark_missing_gone({entry.engine for entry in entries}, at)
         self.router.on_engines(entries, news.whole)
 
     def _link(self, address: str) -> Link:
@@ -99,22 +101,24 @@
         if message.path == clients.READY and message.method == "GET":
             return reply.whole(200 if self._served and self.current() else 503, b"")
         try:
-            demand = clients.demand_of(message, self._next, self._groups, self.waited(message))
+            demand = clients.demand_of(
+                message, self._next_id, self._request_classes, self.queueing_time(message)
+            )
             client_id = message.headers[clients.ID]
             if client_id in self._open_ids:
                 raise HttpError(409, "a req with this id is open")
         except HttpError as problem:
             reply.keep_alive = False
-            return reply.whole(problem.status, clients.error(problem.status, "bad_req", problem.said))
-        self._next += 1
-        guard = self._guard(client_id, demand.group, demand.budget)
+            return reply.whole(problem.status, clients.error(problem.status, "bad_req", problem.reason))
+        self._next_id += 1
+        guard = self._new_guard(client_id, demand.group, demand.budget)
         pending = PendingRequest(id=demand.id, reply=reply, guard=guard, group=demand.group, message=message)
         self.pending_requests[pending.id] = pending
         self._open_ids.add(client_id)
-        self.empty.clear()
-        reply.left = lambda: self._left(pending)
-        self._note_event(pending, Event.TAKEN, detail=f"class={demand.group} prompt={demand.prompt}")
-        self._tell_module(demand, pending)
+        self.idle.clear()
+        reply.left = lambda: self._on_client_gone(pending)
+        self._note_event(pending, Event.ACCEPTED, detail=f"class={demand.group} prompt={demand.prompt}")
+        self._place_request(demand, pending)
         await reply.finished.wait()
         self._forget(pending)
 
@@ -126,12 +130,12 @@
             for endpoint in self.endpoints.values()
         )
 
-    def _left(self, pending: PendingRequest) -> None:
+    def _on_client_gone(self, pending: PendingRequest) -> None:
         """The client went away: what is out for it is called off, what is held is let go of."""
-        if not self._answered(pending, "left"):
+        if not self._set_final_answer(pending, "left"):
             return
         self.router.on_expired(pending.id)
-        if pending.begun and pending.attempt:
+        if pending.answer_started and pending.attempt:
             self.cancel(pending.id, pending.attempt.number)  # a stream that nobody reads
         self._forget(pending)
 
@@ -139,12 +143,12 @@
 
     def push_back(self, req: int, hold_off: int) -> None:
         pending = self.pending_requests[req]
-        if self._answered(pending, "pushed back"):
+        if self._set_final_answer(pending, "pushed back"):
             pending.reply.whole(*clients.push_back(hold_off))
 
     def abort(self, req: int) -> None:
         pending = self.pending_requests[req]
-        if self._answered(pending, "aborted"):
+        if self._set_final_answer(pending, "aborted"):
             pending.reply.whole(*clients.abort())
 
     def probe(self, engine: str) -> None:
@@ -152,7 +156,7 @@
 
     # Carrying an attempt.
 
-    async def _carry(self, pending: PendingRequest, attempt: AttemptInFlight, abandon_at: int) -> None:
+    async def _run_attempt(self, pending: PendingRequest, attempt: AttemptInFlight, abandon_at: int) -> None:
         """From the sending of an attempt to the telling of its ending; owns its connection throughout."""
         attempt.started = True
         endpoint = self.endpoints[attempt.engine]
@@ -163,10 +167,12 @@
         self._make_room()
         try:
             async with asyncio.timeout((abandon_at - now()) / 1e6) as limit:
-                if attempt.called_off:
+                if attempt.cancelled:
                     raise asyncio.CancelledError
                 # A kept connection that was dropped at the other end can't be told from an attempt that ran.
-                may_repeat = attempt.reading or self._groups[pending.group].effect is Effect.REPLAYABLE
+                may_repeat = (
+                    attempt.is_prefill or self._request_classes[pending.group].effect is Effect.REPLAYABLE
+                )
                 fetches_again = attempt.work is Work.FETCH and attempt.number > 1
                 for fresh in (not may_repeat or fetches_again, *[True] * engines.CONNECT_AGAIN):
                     connection = None
@@ -182,18 +188,18 @@
                             connection.abort()
         except TimeoutError:
             observation = Observation.OUT_OF_TIME if connection else Observation.NO_CONNECTION
-            if pending.begun:
+            if pending.answer_started:
                 observation = Observation.STALLED
                 _say_once(endpoint, attempt.engine, "a stream fell silent and was cut")
         except asyncio.CancelledError:
-            if not attempt.called_off:
+            if not attempt.cancelled:
                 raise  # the process ends
             observation = Observation.CALLED_OFF
         except OSError:
             observation = Observation.CUT if connection else Observation.NO_CONNECTION
         except HttpError as problem:
             observation = Observation.STRANGE
-            _say_once(endpoint, attempt.engine, f"strange answer: {problem.said[:120]}")
+            _say_once(endpoint, attempt.engine, f"strange answer: {problem.reason[:120]}")
         except Exception:  # guards all other requests against a fault of ours in this one
             observation = Observation.CUT
             log.exception("a forward to %s", attempt.engine)
@@ -204,8 +210,8 @@
             endpoint.link.close()  # others that rest may be silent as well
         if observation not in (Observation.READ, Observation.WRITTEN):
             reason = f"reason={observation.name.lower()} work={attempt.work.value}"
-            self._report_event(pending, Event.CLOSED, attempt, f"{reason} {connection or ''}")
-        await self._part(pending, attempt, endpoint, connection, observation)
+            self._report_event(pending, Event.CONNECTION_CLOSED, attempt, f"{reason} {connection or ''}")
+        await self._return_connection(pending, attempt, endpoint, connection, observation)
         self._over(pending, attempt, observation, note, report)
 
     async def _connection(
@@ -220,7 +226,7 @@
         question = engines.release(pending.guard.request)
         if await connection.answers(question, CHECK_WITHIN):
             return connection
-        self._report_event(pending, Event.CLOSED, attempt, f"reason=silent {connection}")
+        self._report_event(pending, Event.CONNECTION_CLOSED, attempt, f"reason=silent {connection}")
         endpoint.link.broke(connection)
         connection.abort()
         endpoint.link.close()  # others that rest may be silent as well
@@ -236,26 +242,29 @@
         due_at: int,
     ) -> tuple[Observation, int, LoadReport | None]:
         """Sends an attempt and reads its answer: what was seen, tokens found kept, the load told with it."""
-        if refused := self._refused(pending, attempt, endpoint):
+        if refused := self._check_before_sending(pending, attempt, endpoint):
             return refused, 0, None
-        self._note_event(pending, Event.WRITING, attempt, f"uses={connection.uses}")
+        self._note_event(pending, Event.SENDING, attempt, f"uses={connection.uses}")
         await connection.send(engines.forward(pending.message, due_at - attempt.sent_at))
-        pending.guard.written(attempt)
+        pending.guard.on_sent(attempt)
         self.router.on_written(pending.id, attempt.number, connection.uses > 0)
-        self._note_event(pending, Event.WRITTEN, attempt)
+        self._note_event(pending, Event.SENT, attempt)
         head = await connection.head()
-        endpoint.heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, attempt.sent_at)
+        endpoint.heard_at, endpoint.last_answered_sent_at = (
+            now(),
+            max(endpoint.last_answered_sent_at, attempt.sent_at),
+        )
         self._note_event(pending, Event.CONFIRMED, attempt, f"status={head.status}")
         report = engines.report_with(head.headers)
         observation = engines.observation_of(head)
-        pending.guard.confirmed_by(attempt)
+        pending.guard.on_confirmed(attempt)
         if observation is Observation.STATE_GONE:
-            pending.guard.state_gone()
+            pending.guard.on_state_gone()
         if observation:
             body = await connection.rest(engines.ANSWER_BYTES)
             if observation is not Observation.READ:
                 return observation, 0, report
-            pending.guard.leased(attempt, now())
+            pending.guard.on_leased(attempt, now())
             self._note_event(pending, Event.LEASED, attempt)
             return observation, engines.tokens_kept(body), report
         return await self._stream(pending, attempt, connection, limit)
@@ -276,12 +285,12 @@
                 held_back = passes
                 continue
             held_back = b""
-            if pending.ended:
+            if pending.final_answer:
                 return Observation.CALLED_OFF, 0, None
-            if not pending.begun:
-                pending.begun = True
-                pending.guard.fetched(attempt, now())
-                self._releases.look_at(pending.guard)
+            if not pending.answer_started:
+                pending.answer_started = True
+                pending.guard.on_first_token(attempt, now())
+                self._release_tasks.update(pending.guard)
                 self._note_event(pending, Event.FETCHED, attempt)
                 pending.message.body = b""  # there is no further attempt, and streams are long
                 self.router.on_begun(pending.id, attempt.number, now() - attempt.sent_at)
@@ -296,9 +305,9 @@
             if self._loop.time() > guarded_at + engines.SILENT_FOR / 8:
                 guarded_at = self._loop.time()
                 limit.reschedule(guarded_at + engines.SILENT_FOR * 9 / 8)
-        if not pending.begun or not events.whole:
+        if not pending.answer_started or not events.whole:
             raise HttpError(502, "a stream that is not whole")
-        if self._answered(pending, "done"):
+        if self._set_final_answer(pending, "done"):
             pending.reply.end()
         return Observation.WRITTEN, events.kept, events.report
 
@@ -312,17 +321,17 @@
     ) -> None:
         """Tells how an attempt ended. A stream that broke at its client ends with no last chunk."""
         ending, mark = engines.ENDINGS[observation]
-        self._ended(pending, attempt, observation)
-        if pending.begun and self._answered(pending, "broken"):
+        self._on_attempt_ended(pending, attempt, observation)
+        if pending.answer_started and self._set_final_answer(pending, "broken"):
             pending.reply.cut()
-        final = pending.ended != ""
+        final = pending.final_answer != ""
         took = now() - attempt.sent_at
         self._note_event(pending, Event.ENDED, attempt, f"outcome={observation.name.lower()} took_us={took}")
-        with self._telling(pending):
+        with self._timers_belong_to(pending):
             self.router.on_ended(
                 pending.id, attempt.number, attempt.engine, ending, took, note or mark, final, report
             )
-        if pending.ended and pending.attempt is None:
+        if pending.final_answer and pending.attempt is None:
             self.free_state(pending.id)  # guards rule 5 where the module has forgotten the request
         self._forget(pending)
 
@@ -330,31 +339,32 @@
         """Engines' connections stay within their part of the descriptors: the longest unused one goes, then
         an idle client. What is out for clients stays within: there are fewer of those (start.CLIENTS)."""
         while (
-            self._unused and self._connections + len(self._unused) + len(self._ending) > self.most_connections
+            self._unused
+            and self._connections + len(self._unused) + len(self._half_closed) > self.most_connections
         ):
             next(iter(self._unused.values())).drop_oldest()
-        while self._ending and self._connections + len(self._ending) > self.most_connections:
-            self._drop_ending()
+        while self._half_closed and self._connections + len(self._half_closed) > self.most_connections:
+            self._drop_half_closed()
         if self._connections > self.most_connections:
             self.shed()
 
-    async def _ask_to_release(self, guard: RequestGuard) -> int:
+    async def _send_releases(self, guard: RequestGuard) -> int:
         """Asks more and more engines until one has answered, as any of them passes a release on. All but the
         first question go on connections of their own: what is kept may be silent, as whatever led to the
         release may have been."""
-        began, holder = now(), guard.held_at
+        began, holder = now(), guard.holder
         beside = guard.attempt.engine if guard.attempt else "none"
-        reason = guard.final or "lease"
+        reason = guard.final_answer or "lease"
         detail = f"reason={reason} in_flight={beside} holders={','.join(guard.holders.values())}"
-        self.events.report(began, Event.RELEASING, guard.request, engine=holder, detail=detail)
+        self.events.add_and_log(began, Event.RELEASING, guard.request, engine=holder, detail=detail)
         asked_at = await self._ask_each(holder, engines.release(guard.request))
         took = now() - began
         if asked_at:
             beside = guard.attempt.engine if guard.attempt else "none"
             detail = f"took_us={took} asked_at_us={asked_at} in_flight={beside}"
-            self.events.report(now(), Event.RELEASED, guard.request, engine=holder, detail=detail)
+            self.events.add_and_log(now(), Event.RELEASED, guard.request, engine=holder, detail=detail)
         else:
-            self.events.report(now(), Event.RELEASE_UNANSWERED, guard.request, engine=holder)
+            self.events.add_and_log(now(), Event.RELEASE_UNANSWERED, guard.request, engine=holder)
         return asked_at
 
     async def _ask_each(self, holder: str, question: bytes) -> int:
@@ -394,11 +404,11 @@
         zones = [names for names in there.values() if names][:RELEASE_ZONES]
         return [names[turn % len(names)] for names in zones]
 
-    async def _is_answered(self, engine: str, guard: RequestGuard) -> bool:
+    async def _ping(self, engine: str, guard: RequestGuard) -> bool:
         """Any engine takes a release of a request that is over, and any status shows that it runs."""
         answer = await self._ask(engine, engines.release(guard.request), RUNS_WITHIN, fresh=True)
         detail = f"answered={'no' if answer is None else 'yes'}"
-        self.events.report(now(), Event.CHECKED, guard.request, engine=engine, detail=detail)
+        self.events.add_and_log(now(), Event.ENGINE_CHECKED, guard.request, engine=engine, detail=detail)
         return answer is not None
 
     async def _probe(self, engine: str) -> None:
@@ -422,7 +432,10 @@
             self._make_room()
             answer = await endpoint.link.ask(data, within, fresh)
             if answer:
-                endpoint.heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, began)
+                endpoint.heard_at, endpoint.last_answered_sent_at = (
+                    now(),
+                    max(endpoint.last_answered_sent_at, began),
+                )
             return answer
         finally:
             self._connections -= 1
@@ -435,24 +448,24 @@
             await asyncio.sleep(SWEEP_EVERY)
             if (late := now() - due_at) > LATE:
                 log.warning("the event loop is %d ms late", late // 1000)
-            await self.judge_held_states()
+            await self.check_held_states_on_time()
             past, in_use = now() - GONE_FOR, self._in_use()
             for name, endpoint in list(self.endpoints.items()):
                 endpoint.link.sweep()
-                if endpoint.readiness == "gone" and endpoint.told_at < past and name not in in_use:
+                if endpoint.readiness == "gone" and endpoint.readiness_since < past and name not in in_use:
                     endpoint.link.close()
                     del self.endpoints[name]
 
     def _in_use(self) -> set[str]:
         hands = self.pending_requests.values()
-        guards = [*(pending.guard for pending in hands), *self._releases.guards]
+        guards = [*(pending.guard for pending in hands), *self._release_tasks.guards]
         holders = {engine for guard in guards for engine in guard.holders.values()}
         return {pending.attempt.engine for pending in hands if pending.attempt} | holders
 
     # The end of a request.
 
-    def _answered(self, pending: PendingRequest, ended: str) -> bool:
-        first = super()._answered(pending, ended)
+    def _set_final_answer(self, pending: PendingRequest, ended: str) -> bool:
+        first = super()._set_final_answer(pending, ended)
         if first and ended == "done":
             self._note_event(pending, Event.ANSWERED, detail=f"reason={ended}")
         elif first:
@@ -468,15 +481,15 @@
 
     # Evidence.
 
-    def _violated(self, rule: Rule, request: str, why: str) -> None:
-        self.events.report(now(), Event.VIOLATION, request, detail=f"rule={rule.value} why={why}")
+    def _on_violation(self, rule: Rule, request: str, why: str) -> None:
+        self.events.add_and_log(now(), Event.VIOLATION, request, detail=f"rule={rule.value} why={why}")
         self.events.dump(f"{rule.value} violated", request)
 
     def _note_event(
         self, pending: PendingRequest, event: Event, attempt: AttemptInFlight | None = None, detail: str = ""
     ) -> Record:
         number, engine = (attempt.number, attempt.engine) if attempt else (-1, "")
-        return self.events.note(now(), event, pending.message.headers[clients.ID], number, engine, detail)
+        return self.events.add(now(), event, pending.message.headers[clients.ID], number, engine, detail)
 
     def _report_event(
         self, pending: PendingRequest, event: Event, attempt: AttemptInFlight | None = None, detail: str = ""
--- a/lifthead/node/serve.py
+++ b/lifthead/node/serve.py
@@ -58,7 +58,7 @@
         loop.add_signal_handler(signal.SIGUSR1, host.events.dump, "SIGUSR1")
         if told.known:
             host.on_news(told.known)
-            host.starts.begin_anew()  # it may be an old list
+            host.start_times.reset()  # it may be an old list
         version = told.known.version if told.known else 0
         shared = told.deployment.must_ask
         follower = Follower(told.discovery, version, host.on_news, told.deployment.seed, shared)
@@ -82,7 +82,7 @@
         door.stop(SHUT_AT - ENTRY_FOR)
         await accepting
         listening.close()
-        await host.empty.wait()
+        await host.idle.wait()
         await door.closed()
         for task in lasting:
             task.cancel()
--- a/lifthead/node/start.py
+++ b/lifthead/node/start.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from lifthead.http1 import address_of
+from lifthead.http1 import parse_address
+from lifthead.instance_settings import Fields, MalformedError, flatten, int_field, parse_deployment
 from lifthead.interface import Deployment
 from lifthead.node.discovery import News, StrangeNewsError, news_of
-from lifthead.terms import Fields, MalformedError, deployment_of, flat, whole
 
 OWN = 24  # descriptors for the program itself: its listener, discovery, the loop, the standard streams
 # Part of the others that clients' connections may hold; engines' have the rest. Each client's open request
@@ -60,11 +60,11 @@
 def start_of(data: bytes) -> Start:
     try:
         file = msgspec.json.decode(data, type=_File)
-        env = flat(file.settings)
+        env = flatten(file.settings)
         env["Nonce64"] = str(_of("seed", lambda text: int(text, 16), file.seed or "0"))
-        deployment = deployment_of(env)
-        listen = _of("listen", address_of, file.listen)
-        discovery = _of("discovery", address_of, file.discovery)
+        deployment = parse_deployment(env)
+        listen = _of("listen", parse_address, file.listen)
+        discovery = _of("discovery", parse_address, file.discovery)
         known = _of("known", news_of, bytes(file.known)) if file.known else None
         sockets = _of("limits.sockets", int, file.limits.get("sockets", 1024))
     except (msgspec.DecodeError, UnicodeDecodeError, MalformedError) as problem:
@@ -93,4 +93,4 @@
 
 
 def _limit(env: Fields, name: str, usual: int) -> int:
-    return whole(env, f"PolicyLimits.{name}", usual) or usual
+    return int_field(env, f"PolicyLimits.{name}", usual) or usual
--- a/lifthead/simhost/__main__.py
+++ b/lifthead/simhost/__main__.py
@@ -1,7 +1,7 @@
 import sys
 
+from lifthead.instance_settings import MalformedError
 from lifthead.simhost.serve import serve
-from lifthead.terms import MalformedError
 
 if __name__ == "__main__":
     try:
--- a/lifthead/simhost/serve.py
+++ b/lifthead/simhost/serve.py
@@ -4,15 +4,23 @@
 from typing import TextIO
 
 from lifthead.control import Router
+from lifthead.instance_settings import (
+    Fields,
+    MalformedError,
+    bool_field,
+    int_field,
+    lookup_field,
+    parse_deployment,
+    required_field,
+)
 from lifthead.simhost import wire
-from lifthead.terms import Fields, MalformedError, deployment_of, flag, named, required, whole
 
 
 class WireHost:
     """The host that one instance acts through: each call becomes a line of the reply."""
 
     def __init__(self, router: str, clock: list[int], reply: list[str]) -> None:
-        self._at = f" Router={router} "
+        self._router_field = f" Router={router} "
         self._clock = clock
         self._reply = reply
 
@@ -20,44 +28,44 @@
         return self._clock[0]
 
     def forward(self, req: int, engine: str, abandon_at: int, send_by: int) -> None:
-        self._reply.append(f"ROUTE{self._at}Id={req} Engine={engine} AbandonAt={abandon_at}")
+        self._reply.append(f"ROUTE{self._router_field}Id={req} Engine={engine} AbandonAt={abandon_at}")
 
     def cancel(self, req: int, forward: int) -> None:
-        self._reply.append(f"ABORT_ATTEMPT{self._at}Id={req} Try={forward}")
+        self._reply.append(f"ABORT_ATTEMPT{self._router_field}Id={req} Try={forward}")
 
     def free_state(self, req: int) -> None:
-        self._reply.append(f"FREE_STATE{self._at}Id={req}")
+        self._reply.append(f"FREE_STATE{self._router_field}Id={req}")
 
     def push_back(self, req: int, hold_off: int) -> None:
-        self._reply.append(f"OVERLOAD_REPLY{self._at}Id={req} HoldOff={hold_off}")
+        self._reply.append(f"OVERLOAD_REPLY{self._router_field}Id={req} HoldOff={hold_off}")
 
     def abort(self, req: int) -> None:
-        self._reply.append(f"REPORT_FAILURE{self._at}Id={req}")
+        self._reply.append(f"REPORT_FAILURE{self._router_field}Id={req}")
 
     def wake(self, after: int, label: int) -> None:
-        self._reply.append(f"AFTER{self._at}FromNow={after} Label={label}")
+        self._reply.append(f"AFTER{self._router_field}FromNow={after} Label={label}")
 
     def probe(self, engine: str) -> None:
-        self._reply.append(f"POLL{self._at}Engine={engine}")
+        self._reply.append(f"POLL{self._router_field}Engine={engine}")
 
     def watch_engines(self) -> None:
-        self._reply.append(f"OBSERVE{self._at}Want=1")
+        self._reply.append(f"OBSERVE{self._router_field}Want=1")
 
 
-class Sim:
+class Instances:
     """All instances of this process. They share the clock and the pipe, and nothing that decides."""
 
     def __init__(self) -> None:
         self.clock = [0]
         self.reply: list[str] = []
         self.routers: dict[str, Router] = {}
-        self.sheets: dict[str, list] = {}
+        self.engine_lists: dict[str, list] = {}
 
-    def event(self, name: str, fields: Fields) -> None:
-        number = required(fields, "Router")
+    def handle(self, name: str, fields: Fields) -> None:
+        number = required_field(fields, "Router")
         if name == "INIT":
             host = WireHost(number, self.clock, self.reply)
-            self.routers[number] = Router(host, replace(deployment_of(fields), silent_losses=False))
+            self.routers[number] = Router(host, replace(parse_deployment(fields), silent_losses=False))
             return
         router = self.routers.get(number)
         if router is None:
@@ -65,72 +73,72 @@
         if name == "HALT":
             del self.routers[number]
         elif name == "DEMAND":
-            router.on_req(wire.demand_of(fields))
+            router.on_req(wire.parse_request(fields))
         elif name == "ENDED":
             router.on_ended(
-                whole(fields, "Id"),
-                whole(fields, "Try", 0),
-                required(fields, "Engine"),
-                named(wire.ENDINGS, fields, "Ending"),
-                whole(fields, "Took", 0),
-                whole(fields, "Remark", 0),
-                flag(fields, "Settled"),
-                wire.report_of(fields),
+                int_field(fields, "Id"),
+                int_field(fields, "Try", 0),
+                required_field(fields, "Engine"),
+                lookup_field(wire.OUTCOMES, fields, "Ending"),
+                int_field(fields, "Took", 0),
+                int_field(fields, "Remark", 0),
+                bool_field(fields, "Settled"),
+                wire.parse_load_report(fields),
             )
         elif name == "ESTABLISHED":
-            took = whole(fields, "Took", 0)
-            router.on_begun(whole(fields, "Id"), whole(fields, "Try", 0), took)
+            took = int_field(fields, "Took", 0)
+            router.on_begun(int_field(fields, "Id"), int_field(fields, "Try", 0), took)
         elif name == "EXPIRED":
-            router.on_expired(whole(fields, "Id"))
+            router.on_expired(int_field(fields, "Id"))
         elif name == "ALARM":
-            router.on_wake(whole(fields, "Label"))
+            router.on_wake(int_field(fields, "Label"))
         elif name == "ECHO":
-            router.on_probed(required(fields, "Engine"), wire.report_of(fields))
+            router.on_probed(required_field(fields, "Engine"), wire.parse_load_report(fields))
         elif name == "BACKENDS_CHANGED":
-            how = required(fields, "How")
+            how = required_field(fields, "How")
             if how == "unavailable":
                 router.on_engines_unavailable()
             elif how in ("update", "replace", "restored"):
-                sheet = self.sheets.get(fields.get("List", "0"))
-                if sheet is None:
+                engine_list = self.engine_lists.get(fields.get("List", "0"))
+                if engine_list is None:
                     raise MalformedError("BACKENDS_CHANGED names a list that was never sent")
-                router.on_engines(sheet, whole_list=how != "update")
+                router.on_engines(engine_list, whole_list=how != "update")
             else:
                 raise MalformedError(f"How={how[:40]} is not known")
 
 
 def serve(lines: TextIO, out: TextIO) -> None:
-    sim = Sim()
-    number, in_batch, entries_due, sheet = 0, False, 0, []
-    for raw in lines:
+    instances = Instances()
+    number, in_batch, entries_due, engine_list = 0, False, 0, []
+    for raw_line in lines:
         number += 1
-        line = raw.rstrip("\r\n")
+        line = raw_line.rstrip("\r\n")
         try:
             if entries_due:
-                sheet.append(wire.entry_of(line))
+                engine_list.append(wire.parse_engine_entry(line))
                 entries_due -= 1
                 continue
             if not line.strip():
                 continue
-            name, fields = wire.fields_of(line)
+            name, fields = wire.parse_line(line)
             if name == "FRAME":
                 if in_batch:
                     raise MalformedError("FRAME inside a batch")
-                sim.clock[0] = whole(fields, "T")
+                instances.clock[0] = int_field(fields, "T")
                 in_batch = True
             elif not in_batch:
                 raise MalformedError(f"'{line[:120]}' outside a batch")
             elif name == "YOUR_TURN":
-                sim.reply.append("NEXT\n")
-                out.write("\n".join(sim.reply))
+                instances.reply.append("NEXT\n")
+                out.write("\n".join(instances.reply))
                 out.flush()
-                sim.reply.clear()
+                instances.reply.clear()
                 in_batch = False
             elif name == "SHEET":
-                sheet = sim.sheets[fields.get("List", "0")] = []
-                entries_due = whole(fields, "MembersList", 0)
+                engine_list = instances.engine_lists[fields.get("List", "0")] = []
+                entries_due = int_field(fields, "MembersList", 0)
             elif "Router" in fields:
-                sim.event(name, fields)
+                instances.handle(name, fields)
             elif name in ("INIT", "DEMAND", "ENDED", "BACKENDS_CHANGED"):
                 raise MalformedError(f"{name} has no Router")
         except MalformedError as problem:
--- a/lifthead/simhost/wire.py
+++ b/lifthead/simhost/wire.py
@@ -1,9 +1,17 @@
 """Turns the wire's text into the module's plain types. It translates and nothing else."""
 
+from lifthead.instance_settings import (
+    Fields,
+    MalformedError,
+    bool_field,
+    float_field,
+    int_field,
+    lookup_field,
+    required_field,
+)
 from lifthead.interface import Demand, Ending, EngineEntry, LoadReport
-from lifthead.terms import Fields, MalformedError, flag, named, real, required, whole
 
-ENDINGS = {
+OUTCOMES = {
     "done": Ending.DONE,
     "staged": Ending.READ,
     "busy": Ending.BUSY,
@@ -24,7 +32,7 @@
 }
 
 
-def fields_of(line: str) -> tuple[str, Fields]:
+def parse_line(line: str) -> tuple[str, Fields]:
     name, *parts = line.split(" ")
     fields: Fields = {}
     for part in parts:
@@ -37,46 +45,50 @@
     return name, fields
 
 
-def text_of(fields: Fields, key: str) -> str:
+def optional_text(fields: Fields, key: str) -> str:
     value = fields.get(key, "")
     return "" if value in ("-", "0") else value
 
 
-def report_of(fields: Fields) -> LoadReport | None:
+def parse_load_report(fields: Fields) -> LoadReport | None:
     stats = fields.get("ServerStats", "")
     if stats in ("", "-"):
         return None
     values = dict(pair.partition(":")[::2] for pair in stats.split(","))
-    known = {ours: real(values, theirs, 0.0) for theirs, ours in REPORT_FIELDS.items() if theirs in values}
-    return LoadReport(**known)
+    load = {
+        attribute: float_field(values, wire_name, 0.0)
+        for wire_name, attribute in REPORT_FIELDS.items()
+        if wire_name in values
+    }
+    return LoadReport(**load)
 
 
-def entry_of(line: str) -> EngineEntry:
-    name, fields = fields_of(line)
+def parse_engine_entry(line: str) -> EngineEntry:
+    name, fields = parse_line(line)
     if name != "M":
         raise MalformedError(f"line '{line[:120]}' stands where an M line belongs")
     return EngineEntry(
-        engine=required(fields, "Engine"),
+        engine=required_field(fields, "Engine"),
         zone=fields.get("Campus", ""),
-        cell=whole(fields, "Pack", 0),
+        cell=int_field(fields, "Pack", 0),
         kind=fields.get("Sku", ""),
-        weight=real(fields, "PowerHint", 1.0),
-        up_since=whole(fields, "UpSince", 0),
-        readiness=named(READINESS, fields, "Readiness"),
+        weight=float_field(fields, "PowerHint", 1.0),
+        up_since=int_field(fields, "UpSince", 0),
+        readiness=lookup_field(READINESS, fields, "Readiness"),
     )
 
 
-def demand_of(fields: Fields) -> Demand:
+def parse_request(fields: Fields) -> Demand:
     return Demand(
-        id=whole(fields, "Id"),
+        id=int_field(fields, "Id"),
         group=fields.get("Cls", ""),
-        tenant=text_of(fields, "UserGroup"),
-        budget=whole(fields, "Budget"),
-        prompt=whole(fields, "NPrompt", 0),
-        max_out=whole(fields, "NMax", 0),
-        session=text_of(fields, "Talk"),
-        beginning=text_of(fields, "SystemPrompt"),
-        beginning_len=whole(fields, "PrefixLen", 0),
-        expected_time=whole(fields, "Effort", 0),
-        again=flag(fields, "Again"),
+        tenant=optional_text(fields, "UserGroup"),
+        budget=int_field(fields, "Budget"),
+        prompt=int_field(fields, "NPrompt", 0),
+        max_out=int_field(fields, "NMax", 0),
+        session=optional_text(fields, "Talk"),
+        beginning=optional_text(fields, "SystemPrompt"),
+        beginning_len=int_field(fields, "PrefixLen", 0),
+        expected_time=int_field(fields, "Effort", 0),
+        again=bool_field(fields, "Again"),
     )
--- a/tests/onenode.py
+++ b/tests/onenode.py
@@ -7,7 +7,7 @@
 from loopback import Listening
 
 from lifthead.chat.server import Clients
-from lifthead.http1 import chunk
+from lifthead.http1 import encode_chunk
 from lifthead.node import clients
 from lifthead.node.discovery import news_of
 from lifthead.node.host import Host
@@ -54,7 +54,7 @@
 HAS_READ = b'HTTP/1.1 202 ok\r\ncontent-length: 20\r\n\r\n{"cached_tokens": 5}'
 
 
-STREAM = HEAD + chunk(EVENT) + chunk(EVENT + END) + b"0\r\n\r\n"
+STREAM = HEAD + encode_chunk(EVENT) + encode_chunk(EVENT + END) + b"0\r\n\r\n"
 CLOSE, HANG = "close", "hang"  # what an engine may do in place of its next bytes
 
 
--- a/tests/program.py
+++ b/tests/program.py
@@ -9,7 +9,7 @@
 import subprocess
 import sys
 
-from onenode import Client, chunk, config, news, target
+from onenode import Client, config, encode_chunk, news, target
 
 READY = b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n"
 
@@ -117,9 +117,9 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
-            writer.write(chunk(news(*self.targets, rev=self.rev) + b"\n"))
+            writer.write(encode_chunk(news(*self.targets, rev=self.rev) + b"\n"))
             while not reader.at_eof() and not writer.transport.is_closing():
-                writer.write(chunk(b"\n"))
+                writer.write(encode_chunk(b"\n"))
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(reader.read(100), 1.0)
         self.open.discard(writer)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,7 @@
     Engine,
     ask,
     chat,
-    chunk,
+    encode_chunk,
     news,
     played,
     target,
@@ -65,8 +65,14 @@
 AT = {  # where its request is when the signal comes: the engines' scripts, holding at that point
     "at the prefill engine": lambda held: ([held, HAS_READ], [STREAM]),
     "before its first event": lambda held: ([HAS_READ], [held, STREAM]),
-    "between two events": lambda held: ([HAS_READ], [HEAD + chunk(EVENT), held, chunk(EVENT + END) + LAST]),
-    "before the last chunk": lambda held: ([HAS_READ], [HEAD + chunk(EVENT + EVENT + END), held, LAST]),
+    "between two events": lambda held: (
+        [HAS_READ],
+        [HEAD + encode_chunk(EVENT), held, encode_chunk(EVENT + END) + LAST],
+    ),
+    "before the last chunk": lambda held: (
+        [HAS_READ],
+        [HEAD + encode_chunk(EVENT + EVENT + END), held, LAST],
+    ),
 }
 SIGNALS = [
     (signal.SIGTERM,),
@@ -268,7 +274,7 @@
         writer.close()
         return got.endswith(LAST), got.count(EVENT), (await node.exited(KILLED_AT))[0]
 
-    wr = Engine([HEAD, *[chunk(PIECE)] * 60, chunk(END) + LAST])
+    wr = Engine([HEAD, *[encode_chunk(PIECE)] * 60, encode_chunk(END) + LAST])
     assert program(play, tmp_path, wr=wr) == (True, 800 * 60, 0)
 
 
@@ -287,7 +293,7 @@
         writer.close()
         return got.endswith(LAST), got.count(EVENT)
 
-    wr = Engine([HEAD, *[chunk(PIECE)] * 45, chunk(END) + LAST])
+    wr = Engine([HEAD, *[encode_chunk(PIECE)] * 45, encode_chunk(END) + LAST])
     assert played(play, wr=wr) == (True, 800 * 45)
 
 
@@ -398,7 +404,7 @@
 BUSY = 0.3  # seconds that the loop is at other work, over the client's time
 
 
-@pytest.mark.parametrize("answer", [HAS_READ, HEAD + chunk(EVENT), STREAM, TURNED_AWAY])
+@pytest.mark.parametrize("answer", [HAS_READ, HEAD + encode_chunk(EVENT), STREAM, TURNED_AWAY])
 @pytest.mark.parametrize("prompt", [100, 5000])
 def test_an_engines_word_in_the_turn_of_the_deadline_gives_one_final_answer(answer, prompt):
     """Both are there when the loop looks again: what was held is released, and nothing more is sent."""
@@ -478,7 +484,7 @@
         if len(attempts) == 0:
             attempts.append(asyncio.current_task())
             return await take(self, fresh)
-        if "_carry" in str(asyncio.current_task().get_coro()):
+        if "_run_attempt" in str(asyncio.current_task().get_coro()):
             await asyncio.sleep(0.25)
             raise TimeoutError
         return await take(self, fresh)
@@ -602,9 +608,9 @@
     steps = [asyncio.Event() for _ in pieces]
     script = [HEAD]
     for step, piece in zip(steps, pieces, strict=True):
-        script += [step, chunk(piece)]
+        script += [step, encode_chunk(piece)]
     steps[0].set()
-    assert played(play, wr=Engine(script + [chunk(END) + LAST])) < EVENT_WITHIN / 3
+    assert played(play, wr=Engine(script + [encode_chunk(END) + LAST])) < EVENT_WITHIN / 3
 
 
 def test_events_leave_in_time_while_the_loop_is_under_load():
@@ -612,7 +618,7 @@
     stamp = 'data: {{"choices":[{{"index":0,"delta":{{"content":"{:.6f}"}},"finish_reason":null}}]}}\n\n'
 
     def written(writer):
-        writer.write(chunk(stamp.format(time.monotonic()).encode()))
+        writer.write(encode_chunk(stamp.format(time.monotonic()).encode()))
 
     async def play(node):
         lags = []
@@ -636,7 +642,7 @@
         working.cancel()
         return lags
 
-    wr = Engine([HEAD, *[written, 0.03] * 20, chunk(END) + LAST])
+    wr = Engine([HEAD, *[written, 0.03] * 20, encode_chunk(END) + LAST])
     lags = played(play, wr=wr)
     assert len(lags) == 800 and max(lags) < EVENT_WITHIN
 
@@ -654,14 +660,14 @@
         writer.close()
         return max(took)
 
-    big = Engine([HEAD, *[chunk(EVENT * 800)] * 100, chunk(END) + LAST], [STREAM])
+    big = Engine([HEAD, *[encode_chunk(EVENT * 800)] * 100, encode_chunk(END) + LAST], [STREAM])
     assert played(play, wr=big, rd=Engine([HAS_READ])) < EVENT_WITHIN
 
 
 @pytest.mark.parametrize(
     "end",
-    [[CLOSE], [reset, CLOSE], [LAST], [chunk(END[:-14]) + LAST], [chunk(EVENT[:20]), CLOSE],
-     [chunk(EVENT[:20]) + LAST], [chunk(END), CLOSE], [b"5\r\nabc"], [HANG]],
+    [[CLOSE], [reset, CLOSE], [LAST], [encode_chunk(END[:-14]) + LAST], [encode_chunk(EVENT[:20]), CLOSE],
+     [encode_chunk(EVENT[:20]) + LAST], [encode_chunk(END), CLOSE], [b"5\r\nabc"], [HANG]],
 )  # fmt: skip
 def test_a_stream_that_is_not_whole_gets_no_last_chunk_and_is_not_begun_again(end):
     """No `[DONE]`, no last chunk, half a line, a close, a reset, silence."""
@@ -670,7 +676,7 @@
         status, _, body, whole = await ask(node.address, chat(100))
         return status, body.startswith(EVENT), whole
 
-    wr = Engine([HEAD + chunk(EVENT), 0.02, *end])
+    wr = Engine([HEAD + encode_chunk(EVENT), 0.02, *end])
     assert played(play, wr=wr) == (200, True, False)
     assert len(wr.of("POST")) == 1
 
@@ -843,7 +849,7 @@
 
 
 def line(rev, *targets, whole=False):
-    return chunk(news(*targets, rev=rev, whole=whole) + b"\n")
+    return encode_chunk(news(*targets, rev=rev, whole=whole) + b"\n")
 
 
 DRAINS = target("wr", "127.0.0.1:1", "draining")
@@ -855,12 +861,12 @@
 
 
 async def half_an_object(writer, follower):
-    writer.write(line(43, DRAINS) + chunk(news(DRAINS, rev=44)[:25]))
+    writer.write(line(43, DRAINS) + encode_chunk(news(DRAINS, rev=44)[:25]))
     await writer.drain()
 
 
 async def half_an_object_and_a_reset(writer, follower):
-    writer.write(line(43, DRAINS) + chunk(news(DRAINS, rev=44)[:25]))
+    writer.write(line(43, DRAINS) + encode_chunk(news(DRAINS, rev=44)[:25]))
     await asyncio.sleep(0.05)
     reset(writer)
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from onenode import END, EVENT, HEAD, STREAM, Client, Engine, chat, chunk, config, played, target
+from onenode import END, EVENT, HEAD, STREAM, Client, Engine, chat, config, encode_chunk, played, target
 from program import READY, Discovery, ending, free_address, ready, started
 
 from lifthead.node import start
@@ -35,7 +35,11 @@
 
 def test_idle_clients_use_up_what_they_can_while_discovery_is_down(tmp_path):
     async def play():
-        long = [HEAD + chunk(EVENT), *[0.25, chunk(EVENT)] * 24, chunk(END) + b"0\r\n\r\n"]
+        long = [
+            HEAD + encode_chunk(EVENT),
+            *[0.25, encode_chunk(EVENT)] * 24,
+            encode_chunk(END) + b"0\r\n\r\n",
+        ]
         old, new, discovery, listen = Engine(long), Engine([STREAM]), Discovery(), free_address()
         servers = [await asyncio.start_server(engine.connection, "127.0.0.1", 0) for engine in (old, new)]
         at = ["{}:{}".format(*server.sockets[0].getsockname()) for server in servers]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,7 @@
 from collections import Counter
 
 import pytest
-from onenode import chunk, news, target
+from onenode import encode_chunk, news, target
 
 from lifthead.node import discovery
 from lifthead.node.discovery import Follower
@@ -35,21 +35,21 @@
 
 
 async def half_a_line(writer):
-    writer.write(HEAD + chunk(NEW[:30]))
+    writer.write(HEAD + encode_chunk(NEW[:30]))
     await asyncio.sleep(60)
 
 
 async def a_line_without_end(writer):
     writer.write(HEAD)
     for byte in NEW * 100:
-        writer.write(chunk(bytes([byte]) if byte != 10 else b" "))
+        writer.write(encode_chunk(bytes([byte]) if byte != 10 else b" "))
         await asyncio.sleep(0.05)
 
 
 async def an_object_without_end(writer):
-    writer.write(HEAD + chunk(b'{"rev": 44, "all": true, "targets": [\n'))
+    writer.write(HEAD + encode_chunk(b'{"rev": 44, "all": true, "targets": [\n'))
     while True:
-        writer.write(chunk(b"  {\n"))
+        writer.write(encode_chunk(b"  {\n"))
         await asyncio.sleep(0.05)
 
 
@@ -61,7 +61,7 @@
 
 
 async def a_watch_that_falls_silent(writer):
-    writer.write(HEAD + chunk(OLD) + chunk(b"\n"))
+    writer.write(HEAD + encode_chunk(OLD) + encode_chunk(b"\n"))
     await asyncio.sleep(60)
 
 
@@ -72,13 +72,13 @@
 
 
 async def a_watch_that_is_reset(writer):
-    writer.write(HEAD + chunk(OLD))
+    writer.write(HEAD + encode_chunk(OLD))
     await asyncio.sleep(0.1)
     await reset(writer)
 
 
 async def closed(writer):
-    writer.write(HEAD + chunk(b"\n") + b"0\r\n\r\n")
+    writer.write(HEAD + encode_chunk(b"\n") + b"0\r\n\r\n")
 
 
 async def another_status(writer):
@@ -95,12 +95,12 @@
 
 
 async def a_list_that_cannot_be_read(writer):
-    writer.write(HEAD + chunk(b'{"rev": "x", "all": true, "targets": []}\n'))
+    writer.write(HEAD + encode_chunk(b'{"rev": "x", "all": true, "targets": []}\n'))
     await asyncio.sleep(60)
 
 
 async def a_list_without_targets(writer):
-    writer.write(HEAD + chunk(b"\n") + chunk(b'{"rev": 44}\n'))
+    writer.write(HEAD + encode_chunk(b"\n") + encode_chunk(b'{"rev": 44}\n'))
     await asyncio.sleep(60)
 
 
@@ -137,7 +137,7 @@
                 await STATES[state](writer)
             else:
                 await asyncio.sleep(max(well_at - loop.time(), 0))
-                writer.write(HEAD + chunk(NEW))
+                writer.write(HEAD + encode_chunk(NEW))
                 await reader.read()
         writer.close()
 
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -7,7 +7,7 @@
 
 from lifthead.engines import codec
 from lifthead.engines.codec import ENDINGS, NOT_RUN, Events, Observation, StrangeError
-from lifthead.http1 import AnswerParser, HttpError, Message, ReqParser
+from lifthead.http1 import AnswerParser, HttpError, Message, RequestParser
 from lifthead.interface import Ending
 
 WORDS = ["fuel ", "não ", "a\n\nb", "data: x", "«ok» "]
@@ -141,7 +141,7 @@
 
 @given(st.binary(max_size=400))
 def test_no_bytes_break_the_parsers(data):
-    for parser in (ReqParser(100, 100), AnswerParser()):
+    for parser in (RequestParser(100, 100), AnswerParser()):
         try:
             parser.feed(data)
         except HttpError as problem:
@@ -151,11 +151,14 @@
 @given(st.lists(st.integers(0, 80), max_size=6))
 def test_reqs_come_whole_whatever_the_borders(cuts):
     data = b"POST /x HTTP/1.1\r\nA: 1\r\nA: 2\r\nContent-Length: 3\r\n\r\nabcGET /y HTTP/1.1\r\n\r\n"
-    parser, places = ReqParser(1000, 1000), sorted({0, *cuts, len(data)})
+    parser, places = RequestParser(1000, 1000), sorted({0, *cuts, len(data)})
     for start, end in zip(places, places[1:], strict=False):
         parser.feed(data[start:end])
-    assert [(m.method, m.path, m.body) for m in parser.ready] == [("POST", "/x", b"abc"), ("GET", "/y", b"")]
-    assert parser.ready[0].headers["a"] == "1, 2"
+    assert [(m.method, m.path, m.body) for m in parser.requests] == [
+        ("POST", "/x", b"abc"),
+        ("GET", "/y", b""),
+    ]
+    assert parser.requests[0].headers["a"] == "1, 2"
 
 
 @pytest.mark.parametrize(
@@ -172,7 +175,7 @@
     ids=range(7),
 )
 def test_bounds_on_a_req(data, status):
-    parser = ReqParser(1000, 1000)
+    parser = RequestParser(1000, 1000)
     with pytest.raises(HttpError) as problem:
         for at in range(0, len(data), 64):
             parser.feed(data[at : at + 64])
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -8,7 +8,7 @@
 
 
 def names(node, trace):
-    return [record.event for record in node.host.events.of(trace)]
+    return [record.event for record in node.host.events.for_request(trace)]
 
 
 def test_the_ring_tells_a_requests_path_in_order():
@@ -17,10 +17,10 @@
         return status, names(node, "a1")
 
     status, events = played(play, rd=Engine([HAS_READ]), wr=Engine([STREAM]))
-    attempt = [Event.CONNECTING, Event.WRITING, Event.WRITTEN, Event.CONFIRMED]
+    attempt = [Event.CONNECTING, Event.SENDING, Event.SENT, Event.CONFIRMED]
     assert status == 200
     assert events == [
-        Event.TAKEN, *attempt, Event.LEASED, Event.ENDED,
+        Event.ACCEPTED, *attempt, Event.LEASED, Event.ENDED,
         *attempt, Event.FETCHED, Event.ANSWERED, Event.ENDED,
         Event.FORGOTTEN,
     ]  # fmt: skip
@@ -48,7 +48,7 @@
     caplog.set_level(logging.INFO)
     events = EventLog(logging.getLogger("ring"), size=3)
     for number in range(5):
-        events.note(number, Event.TAKEN, f"r{number}")
+        events.add(number, Event.ACCEPTED, f"r{number}")
     events.dump("test")
     events.dump("test", "r4")
     said = [record.getMessage() for record in caplog.records]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -231,7 +231,7 @@
             far.close()
 
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(node.host.judge_held_states())
+            tasks.create_task(node.host.check_held_states_on_time())
             await asyncio.sleep(0)
             tasks.create_task(answer_read())
         return order
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -393,10 +393,10 @@
 def test_a_drains_limit_is_kept_though_the_wall_clock_was_stepped(tmp_path):
     async def play():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
-            daemon, ahead = loop.daemon, loop.daemon.host.starts.wall_ahead
+            daemon, ahead = loop.daemon, loop.daemon.host.start_times.wall_offset
             daemon.on_push(ListNews(True, of_loopback(loop)))
             for step in (-3_600_000_000, 3_600_000_000):
-                daemon.host.starts.wall_ahead = ahead - step  # as it was before
+                daemon.host.start_times.wall_offset = ahead - step  # as it was before
                 said = daemon._drain_engines({"selector": "wr", "limit": 5_000_000})
                 left = daemon.host.endpoints["wr"].drains_by - time.monotonic_ns() // 1000
                 assert 4_000_000 < left <= 5_000_000
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -24,8 +24,8 @@
     Engine,
     ask,
     chat,
-    chunk,
     config,
+    encode_chunk,
     news,
     played,
     target,
@@ -33,20 +33,20 @@
 
 from lifthead.engines.codec import Observation
 from lifthead.engines.link import RESTS_FOR, Lasting, Link
-from lifthead.hosting import now, wall_ahead
-from lifthead.http1 import AnswerParser, HttpError, Message, ReqParser
+from lifthead.hosting import now, wall_clock_offset
+from lifthead.http1 import AnswerParser, HttpError, Message, RequestParser
+from lifthead.instance_settings import flatten, parse_deployment
 from lifthead.interface import Effect, Ending, LoadReport
 from lifthead.node import clients, engines, host, start
 from lifthead.node.discovery import Follower, Gathering, StrangeNewsError, news_of
 from lifthead.node.serve import read_again
 from lifthead.starts import StartTimes
-from lifthead.terms import deployment_of, flat
 
 SPOILT = {
     "noise": b"\x00\x17noise\r\n\r\n" * 9,
     "endless head": b"HTTP/1.1 200 OK\r\nx: " + b"y" * 40_000,
     "change of protocol": b"HTTP/1.1 101 Switching\r\n\r\n",
-    "noise in a chunk": HEAD + chunk(b"\x00noise\n\n"),
+    "noise in a chunk": HEAD + encode_chunk(b"\x00noise\n\n"),
     "chunk size": HEAD + b"zz\r\n" + EVENT,
     "chunk that does not fit": HEAD + b"9\r\n" + EVENT,
     "huge chunk": HEAD + b"C0000000\r\n" + b"x" * 400_000,
@@ -72,7 +72,7 @@
         },
         "Grades": [{"Name": "ask", "Effect": "safe", "Target": 1500000}],
     }  # fmt: skip
-    assert deployment_of(flat(nested)) == deployment_of(env)
+    assert parse_deployment(flatten(nested)) == parse_deployment(env)
 
 
 def test_a_configuration_gives_limits_and_the_known_list():
@@ -122,12 +122,12 @@
 
 
 def message(data):
-    parser = ReqParser(clients.HEAD_BYTES, clients.BODY_BYTES)
+    parser = RequestParser(clients.HEAD_BYTES, clients.BODY_BYTES)
     parser.feed(data)
-    return parser.ready.popleft()
+    return parser.requests.popleft()
 
 
-GROUPS = deployment_of(flat(SETTINGS)).groups
+GROUPS = parse_deployment(flatten(SETTINGS)).groups
 
 
 def test_a_message_becomes_a_demand():
@@ -239,10 +239,10 @@
 def test_an_answer_behind_announcements_is_read_and_one_behind_it_is_surplus():
     parser = AnswerParser()
     parser.feed(b"HTTP/1.1 103 Early\r\nx-never-ran: 1\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + HAS_READ)
-    assert (parser.head.status, parser.complete, parser.surplus) == (202, True, False)
+    assert (parser.head.status, parser.complete, parser.has_surplus) == (202, True, False)
     assert "x-never-ran" not in parser.head.headers
     parser.feed(b"HTTP/1.1 500 Oh\r\ncontent-length: 2\r\n\r\nhi")
-    assert parser.surplus and parser.head.status == 202 and parser.body() == b'{"cached_tokens": 5}'
+    assert parser.has_surplus and parser.head.status == 202 and parser.body() == b'{"cached_tokens": 5}'
 
 
 def test_announcements_without_end_are_no_answer():
@@ -331,8 +331,8 @@
 def test_a_start_is_told_on_this_machines_clock():
     at = time.time_ns() // 1_000_000
     entry, _ = news_of(news(target("e", "a:1", boot_ms=at), target("f", "a:1"))).entries[0]
-    starts = StartTimes(wall_ahead())
-    up_since = starts.up_since("e", entry.up_since, now(), wall_ahead())
+    starts = StartTimes(wall_clock_offset())
+    up_since = starts.up_since("e", entry.up_since, now(), wall_clock_offset())
     assert abs(up_since - time.monotonic_ns() // 1000) < 1_000_000
 
 
@@ -471,7 +471,7 @@
         text = self.texts[min(len(self.asked), len(self.texts) - 1)]
         self.asked.append(path.rpartition("=")[2])
         writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
-        writer.write(chunk(b"\n") + chunk(text + b"\n"))
+        writer.write(encode_chunk(b"\n") + encode_chunk(text + b"\n"))
         await reader.read()
         writer.close()
 
@@ -541,9 +541,9 @@
     assert [fields["x-trace-id"] for _, fields in one.came + two.came].count("p1") == 1
 
 
-@pytest.mark.parametrize("after", [[CLOSE], [b"zz\r\nnoise"], [chunk(b"noise\n\n")], [HANG]])
+@pytest.mark.parametrize("after", [[CLOSE], [b"zz\r\nnoise"], [encode_chunk(b"noise\n\n")], [HANG]])
 def test_a_stream_that_breaks_ends_without_a_last_chunk(after):
-    wr = Engine([HEAD + chunk(EVENT), 0.05, *after])
+    wr = Engine([HEAD + encode_chunk(EVENT), 0.05, *after])
     status, _, body, whole = played(lambda node: ask(node.address, chat(100)), wr=wr)
     assert (status, body, whole) == (200, EVENT, False)
 
@@ -684,7 +684,7 @@
 
 def test_a_slow_client_stops_the_reading_of_its_engine_and_gets_all():
     events = EVENT * 20_000
-    wr = Engine([HEAD] + [chunk(EVENT * 500)] * 40 + [chunk(END) + b"0\r\n\r\n"])
+    wr = Engine([HEAD] + [encode_chunk(EVENT * 500)] * 40 + [encode_chunk(END) + b"0\r\n\r\n"])
 
     async def play(node):
         async with Client(node.address) as client:
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from lifthead.instance_settings import MalformedError
 from lifthead.simhost.serve import serve
-from lifthead.terms import MalformedError
 
 INIT = (
     "INIT Router=0 Nonce64=5 Zone=a Dcs=a Flavors=P,D FamilyInfo.RoleByKind=read,write "
