--- a/lifthead/events.py
+++ b/lifthead/events.py
@@ -1,7 +1,8 @@
 """Keeps a bounded ring buffer of recent request events, and logs the unusual ones.
 
 The whole ring is logged on SIGUSR1, and the events of one request when it breaks an invariant. The standard
-logger is used because structlog adds 0.13 s of processor time and 5 MB to each start of a node.
+logger is used because structlog adds 0.13 s of processor time and 5 MB to the start of a node, which a fleet
+pays at each restart.
 """
 
 import logging
--- a/lifthead/guard.py
+++ b/lifthead/guard.py
@@ -32,7 +32,7 @@
 
 
 class AttemptState(Enum):
-    """How far an attempt is known to have got."""
+    """The state of an attempt, as far as the router knows."""
 
     CONNECTING = "connecting"
     SENDING = "writing"
@@ -97,7 +97,7 @@
 class Attempt:
     """One attempt of a request at one engine."""
 
-    number: int  # counted anew each time the request is placed
+    number: int  # counts from 0 each time the request is placed
     engine: str
     work: Work
     send_by: int  # it must not be sent after this
--- a/lifthead/held_audit.py
+++ b/lifthead/held_audit.py
@@ -61,7 +61,7 @@
             self.closed_at[entry.attempt] = entry.at
             self.undetected_closes.add(entry.attempt)
         elif self.held_since is not None and not is_prefill:
-            self.held_since = entry.at  # the decode attempt had arrived: the time starts anew
+            self.held_since = entry.at  # the decode attempt had arrived: the time restarts
         if self.held_since is None and (is_prefill or self.kept_by_attempt):
             self.held_since, self.kept_by_attempt = entry.at, False
 
--- a/lifthead/instance_settings.py
+++ b/lifthead/instance_settings.py
@@ -66,8 +66,8 @@
 def flatten(nested: dict[str, Any], prefix: str = "") -> Fields:
     """Flattens nested JSON to pairs of path and value, as in the simulator's first message.
 
-    A list of plain values becomes one value joined by commas; a list of objects gets a count, and each object
-    goes under its index."""
+    Items of a list of plain values are joined by commas. For a list of objects there is a count, and the path
+    of each object contains its index."""
     pairs: Fields = {}
     for key, value in nested.items():
         path = prefix + key
--- a/lifthead/simhost/serve.py
+++ b/lifthead/simhost/serve.py
@@ -1,5 +1,5 @@
-"""Reads batches of events from the simulator, passes them to the instances of the decision module, and writes
-the actions that these take."""
+"""Reads batches of events from the simulator, passes them to instances of the decision module, and writes the
+calls that these make."""
 
 from dataclasses import replace
 from typing import TextIO
