--- a/lifthead/simhost/wire.py
+++ b/lifthead/simhost/wire.py
@@ -1,9 +1,18 @@
-"""Turns the wire's text into the module's plain types. It translates and nothing else."""
+"""Translates lines of the simulator's protocol into the plain types of the decision module."""
+
+from lifthead.instance_settings import (
+    Fields,
+    MalformedError,
+    bool_field,
+    float_field,
+    int_field,
+    lookup_field,
+    required_field,
+)
 
 from lifthead.interface import AttemptOutcome, EngineEntry, LoadReport, RequestSpec
-from lifthead.terms import Fields, MalformedError, flag, named, real, required, whole
 
-ENDINGS = {
+OUTCOMES = {
     "done": AttemptOutcome.COMPLETED,
     "staged": AttemptOutcome.PREFILLED,
     "busy": AttemptOutcome.REJECTED,
@@ -24,59 +33,63 @@
 }
 
 
-def fields_of(line: str) -> tuple[str, Fields]:
+def parse_line(line: str) -> tuple[str, Fields]:
     name, *parts = line.split(" ")
     fields: Fields = {}
     for part in parts:
         if not part:
             continue
-        key, equals, value = part.partition("=")
-        if not equals:
-            raise MalformedError(f"part '{part[:40]}' of line '{line[:120]}' is not of the form name=value")
+        key, separator, value = part.partition("=")
+        if not separator:
+            raise MalformedError(f"'{part[:40]}' in line '{line[:120]}' is not of the form name=value")
         fields[key] = value
     return name, fields
 
 
-def text_of(fields: Fields, key: str) -> str:
+def optional_text(fields: Fields, key: str) -> str:
     value = fields.get(key, "")
     return "" if value in ("-", "0") else value
 
 
-def report_of(fields: Fields) -> LoadReport | None:
-    stats = fields.get("ServerStats", "")
-    if stats in ("", "-"):
+def parse_load_report(fields: Fields) -> LoadReport | None:
+    load_text = fields.get("ServerStats", "")
+    if load_text in ("", "-"):
         return None
-    values = dict(pair.partition(":")[::2] for pair in stats.split(","))
-    known = {ours: real(values, theirs, 0.0) for theirs, ours in REPORT_FIELDS.items() if theirs in values}
-    return LoadReport(**known)
+    values = dict(pair.partition(":")[::2] for pair in load_text.split(","))
+    load = {
+        attribute: float_field(values, wire_name, 0.0)
+        for wire_name, attribute in REPORT_FIELDS.items()
+        if wire_name in values
+    }
+    return LoadReport(**load)
 
 
-def entry_of(line: str) -> EngineEntry:
-    name, fields = fields_of(line)
+def parse_engine_entry(line: str) -> EngineEntry:
+    name, fields = parse_line(line)
     if name != "M":
-        raise MalformedError(f"line '{line[:120]}' stands where an M line belongs")
+        raise MalformedError(f"expected an M line, got '{line[:120]}'")
     return EngineEntry(
-        engine=required(fields, "Engine"),
+        engine=required_field(fields, "Engine"),
         zone=fields.get("Campus", ""),
-        cell=whole(fields, "Pack", 0),
+        cell=int_field(fields, "Pack", 0),
         kind=fields.get("Sku", ""),
-        weight=real(fields, "PowerHint", 1.0),
-        up_since=whole(fields, "UpSince", 0),
-        readiness=named(READINESS, fields, "Readiness"),
+        weight=float_field(fields, "PowerHint", 1.0),
+        up_since=int_field(fields, "UpSince", 0),
+        readiness=lookup_field(READINESS, fields, "Readiness"),
     )
 
 
-def demand_of(fields: Fields) -> RequestSpec:
+def parse_request(fields: Fields) -> RequestSpec:
     return RequestSpec(
-        id=whole(fields, "Id"),
+        id=int_field(fields, "Id"),
         request_class=fields.get("Cls", ""),
-        tenant=text_of(fields, "UserGroup"),
-        budget=whole(fields, "Budget"),
-        prompt_tokens=whole(fields, "NPrompt", 0),
-        max_output_tokens=whole(fields, "NMax", 0),
-        session=text_of(fields, "Talk"),
-        prefix_id=text_of(fields, "SystemPrompt"),
-        prefix_tokens=whole(fields, "PrefixLen", 0),
-        expected_time=whole(fields, "Effort", 0),
-        is_retry=flag(fields, "Again"),
+        tenant=optional_text(fields, "UserGroup"),
+        budget=int_field(fields, "Budget"),
+        prompt_tokens=int_field(fields, "NPrompt", 0),
+        max_output_tokens=int_field(fields, "NMax", 0),
+        session=optional_text(fields, "Talk"),
+        prefix_id=optional_text(fields, "SystemPrompt"),
+        prefix_tokens=int_field(fields, "PrefixLen", 0),
+        expected_time=int_field(fields, "Effort", 0),
+        is_retry=bool_field(fields, "Again"),
     )
