--- a/lifthead/node/__main__.py
+++ b/lifthead/node/__main__.py
@@ -10,7 +10,7 @@
 
 from lifthead.node.signals import early_reload  # noqa: E402
 
-early_reload.listen()  # the imports below take most of a start's time
+early_reload.install()  # the imports below take most of a start's time
 
 from lifthead.node.serve import main  # noqa: E402
 
--- a/lifthead/node/clients.py
+++ b/lifthead/node/clients.py
@@ -10,95 +10,103 @@
 from lifthead.http1 import Headers, HttpError, Message
 from lifthead.interface import Demand, EndpointGroup
 
-PATH = "/v1/chat/completions"
-READY = "/ready"
-ID = "x-trace-id"
-HEAD_BYTES = 16_384
-BODY_BYTES = 262_144  # a body holds so much at most
-FIRST_WITHIN = 2.2  # seconds from a connection's accepting to its first req: an error or a close is owed in 3
-REST_WITHIN = 2_000_000  # microseconds from a head's or a body's first byte to its last
-IDLE_FOR = 6_000_000  # microseconds that a connection without an open req is kept for its client
-LONGEST = 3_600_000  # milliseconds that a client can say it waits
-CHARS = 4  # a token is so many characters
-
-_ID = re.compile(r"[0-9A-Za-z_-]{1,64}").fullmatch
-_WHOLE = re.compile(r"[0-9]{1,9}").fullmatch
-JSON = {"content-type": "application/json"}
-
-
-class _Said(msgspec.Struct):
+CHAT_PATH = "/v1/chat/completions"
+READY_PATH = "/ready"
+ID_HEADER = "x-trace-id"
+MAX_HEAD_BYTES = 16_384
+MAX_BODY_BYTES = 262_144  # a body holds so much at most
+FIRST_REQUEST_TIMEOUT = (
+    2.2  # seconds from a connection's accepting to its first req: an error or a close is owed in 3
+)
+RECEIVE_TIMEOUT = 2_000_000  # microseconds from a head's or a body's first byte to its last
+IDLE_TIMEOUT = 6_000_000  # microseconds that a connection without an open req is kept for its client
+MAX_BUDGET_MS = 3_600_000  # milliseconds that a client can say it waits
+CHARS_PER_TOKEN = 4  # a token is so many characters
+
+_match_id = re.compile(r"[0-9A-Za-z_-]{1,64}").fullmatch
+_match_number = re.compile(r"[0-9]{1,9}").fullmatch
+JSON_HEADERS = {"content-type": "application/json"}
+
+
+class _ChatMessage(msgspec.Struct):
     role: str
     content: str
 
 
-class _Body(msgspec.Struct):
+class _ChatBody(msgspec.Struct):
     model: str
-    messages: list[_Said]
+    messages: list[_ChatMessage]
     stream: bool = True
     max_tokens: int = 0
 
 
-_decode = msgspec.json.Decoder(_Body).decode
+_decode_body = msgspec.json.Decoder(_ChatBody).decode
 
 
-def demand_of(message: Message, req: int, groups: dict[str, EndpointGroup], waited: int = 0) -> Demand:
+def parse_request(
+    message: Message, number: int, request_classes: dict[str, EndpointGroup], waited: int = 0
+) -> Demand:
     """A client's message as a demand under this number; HttpError with a 4xx if it is none. `waited`:
     microseconds since its last byte came."""
-    if message.path.partition("?")[0] != PATH:
+    if message.path.partition("?")[0] != CHAT_PATH:
         raise HttpError(404, f"there is no {message.path[:60]}")
     if message.method != "POST":
         raise HttpError(405, "expected POST")
     headers = message.headers
-    if not _ID(headers.get(ID, "")):
-        raise HttpError(400, f"{ID} is missing or no id")
-    group = headers.get("x-qos", "")
-    if group not in groups:
-        raise HttpError(400, f"x-qos is {group!r:.40}, which is not served here")
-    waits = _number(headers, "x-expires-in-ms", "x-expires-in-ms")
-    if not 0 < waits <= LONGEST:
-        raise HttpError(400, f"x-expires-in-ms is {waits}, expected 1 to {LONGEST}")
+    if not _match_id(headers.get(ID_HEADER, "")):
+        raise HttpError(400, f"{ID_HEADER} is missing or no id")
+    request_class = headers.get("x-qos", "")
+    if request_class not in request_classes:
+        raise HttpError(400, f"x-qos is {request_class!r:.40}, which is not served here")
+    budget_ms = _parse_number(headers, "x-expires-in-ms", "x-expires-in-ms")
+    if not 0 < budget_ms <= MAX_BUDGET_MS:
+        raise HttpError(400, f"x-expires-in-ms is {budget_ms}, expected 1 to {MAX_BUDGET_MS}")
     try:
-        body = _decode(message.body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise HttpError(400, f"the body is no chat: {str(problem)[:120]}") from None
-    props = dict(pair.strip().partition("=")[::2] for pair in headers.get("x-props", "").split(",") if pair)
-    prompt = _number(props, "prompt_len", "x-props' prompt_len", len(message.body) // CHARS)
+        body = _decode_body(message.body)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise HttpError(400, f"the body is no chat: {str(error)[:120]}") from None
+    properties = dict(
+        pair.strip().partition("=")[::2] for pair in headers.get("x-props", "").split(",") if pair
+    )
+    prompt = _parse_number(
+        properties, "prompt_len", "x-props' prompt_len", len(message.body) // CHARS_PER_TOKEN
+    )
     if prompt > len(message.body):
         raise HttpError(400, f"x-props' prompt_len is {prompt}, more than the body holds")
-    beginning = props.get("prefix", "")
+    prefix = properties.get("prefix", "")
     return Demand(
-        id=req,
-        group=group,
+        id=number,
+        group=request_class,
         tenant=headers.get("x-customer", ""),
-        budget=max(waits * 1000 - waited, 0),
+        budget=max(budget_ms * 1000 - waited, 0),
         prompt=prompt,
-        max_out=_number(props, "max_out", "x-props' max_out", max(body.max_tokens, 0)),
+        max_out=_parse_number(properties, "max_out", "x-props' max_out", max(body.max_tokens, 0)),
         session=headers.get("x-object", ""),
-        beginning=beginning,
-        beginning_len=_number(props, "prefix_len", "x-props' prefix_len", 0) if beginning else 0,
+        beginning=prefix,
+        beginning_len=_parse_number(properties, "prefix_len", "x-props' prefix_len", 0) if prefix else 0,
         expected_time=0,
         again=headers.get("x-second-try", "") == "again",
     )
 
 
-def _number(fields: Headers, key: str, named: str, usual: int | None = None) -> int:
+def _parse_number(fields: Headers, key: str, label: str, default: int | None = None) -> int:
     text = fields.get(key)
-    if text is None and usual is not None:
-        return usual
-    if text is None or not _WHOLE(text):
-        raise HttpError(400, f"{named} is {text!r:.40}, expected a whole number")
+    if text is None and default is not None:
+        return default
+    if text is None or not _match_number(text):
+        raise HttpError(400, f"{label} is {text!r:.40}, expected a whole number")
     return int(text)
 
 
-def error(status: int, code: str, said: str) -> bytes:
-    return msgspec.json.encode({"error": {"code": code, "message": said, "status": status}})
+def error_body(status: int, code: str, text: str) -> bytes:
+    return msgspec.json.encode({"error": {"code": code, "message": text, "status": status}})
 
 
-def push_back(hold_off: int) -> tuple[int, bytes, Headers]:
+def rejection(retry_after: int) -> tuple[int, bytes, Headers]:
     """Status, body and headers that say: a repeat does no harm. `hold_off`: microseconds, 0: none."""
-    headers = {**JSON, "retry-after": f"{hold_off / 1e6:.3f}"} if hold_off else JSON
-    return 503, error(503, "pushed_back", "trying again does no harm"), headers
+    headers = {**JSON_HEADERS, "retry-after": f"{retry_after / 1e6:.3f}"} if retry_after else JSON_HEADERS
+    return 503, error_body(503, "pushed_back", "trying again does no harm"), headers
 
 
-def abort() -> tuple[int, bytes, Headers]:
-    return 504, error(504, "aborted", "whether it had an effect is not known"), JSON
+def failure() -> tuple[int, bytes, Headers]:
+    return 504, error_body(504, "aborted", "whether it had an effect is not known"), JSON_HEADERS
--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -22,20 +22,20 @@
 from lifthead.http1 import HttpError, Message
 from lifthead.interface import Effect, LoadReport
 from lifthead.node import clients, engines
-from lifthead.node.discovery import News
-from lifthead.node.start import Start
+from lifthead.node.discovery import EngineListUpdate
+from lifthead.node.start import NodeConfig
 
-ASK_WITHIN = 0.5  # seconds for a probe; the module is told nothing of a lost one
-CHECK_WITHIN = 0.1  # seconds for a kept connection to show that it is not silent
-RELEASE_WITHIN = 0.5  # seconds for an engine to answer a release
-RUNS_WITHIN = 2.0  # ... and for one that may stand still to answer anything
+PROBE_TIMEOUT = 0.5  # seconds for a probe; the module is told nothing of a lost one
+CONNECTION_CHECK_TIMEOUT = 0.1  # seconds for a kept connection to show that it is not silent
+RELEASE_TIMEOUT = 0.5  # seconds for an engine to answer a release
+LIVENESS_TIMEOUT = 2.0  # ... and for one that may stand still to answer anything
 # A release goes to the holder, then after so many seconds each without an answer also to others.
 RELEASE_PAUSES = (0.05, 0.05, 0.1, 0.3, 0.5)
-RELEASE_ZONES = 4  # engines that are asked at once, each of another zone
-SWEEP_EVERY = 0.5  # seconds
-LATE = 200_000  # microseconds of delay of ours that are worth a line in the log
-SAID_MOST = 8  # different things that are logged of one engine
-GONE_FOR = 20_000_000  # microseconds for which an engine that is gone is remembered: it may be back
+MAX_RELEASE_ZONES = 4  # engines that are asked at once, each of another zone
+SWEEP_INTERVAL = 0.5  # seconds
+LOGGED_LOOP_DELAY = 200_000  # microseconds of delay of ours that are worth a line in the log
+MAX_LOGGED_PER_ENGINE = 8  # different things that are logged of one engine
+FORGET_GONE_AFTER = 20_000_000  # microseconds for which an engine that is gone is remembered: it may be back
 
 log = logging.getLogger(__name__)
 
@@ -44,7 +44,7 @@
 class PendingRequest(hosting.PendingRequest):
     """A request that was taken and whose attempts are not all over."""
 
-    group: str
+    request_class: str
     message: Message
 
 
@@ -52,65 +52,69 @@
 class Endpoint(hosting.Endpoint):
     """An engine as the node knows it."""
 
-    heard_at: int = 0
+    last_heard_at: int = 0
     zone: str = ""
-    said: set[str] = field(default_factory=set)  # what was logged of it
+    logged: set[str] = field(default_factory=set)  # what was logged of it
 
 
 class Host(Hosting):
     endpoint_type = Endpoint
 
-    def __init__(self, start: Start, tasks: asyncio.TaskGroup) -> None:
-        super().__init__(start.deployment, tasks)
-        self._start = start
-        self._open_ids: set[str] = set()
-        self._connections = 0  # to engines, in use
-        self.most_connections = start.engines
-        self.shed: Callable[[], object] = bool  # has an idle client's connection closed
-        self.current: Callable[[], bool] = lambda: True  # whether the list is what discovery has now
-        self._unused: dict[Connection, Link] = {}  # to engines, the one that waits longest first
+    def __init__(self, config: NodeConfig, tasks: asyncio.TaskGroup) -> None:
+        super().__init__(config.deployment, tasks)
+        self._config = config
+        self._open_request_ids: set[str] = set()
+        self._connections_in_use = 0  # to engines, in use
+        self.max_connections = config.max_engine_connections
+        self.close_idle_client: Callable[[], object] = bool  # has an idle client's connection closed
+        self.list_is_current: Callable[[], bool] = lambda: True  # whether the list is what discovery has now
+        self._idle_connections: dict[Connection, Link] = {}  # to engines, the one that waits longest first
         self.events = EventLog(log)
-        self._lasting = Lasting(start.idle_close / 1e6 * engines.IDLE_PART)
-        self.router = control.Router(self, start.deployment)
+        self._lasting = Lasting(config.engine_idle_timeout / 1e6 * engines.IDLE_FRACTION)
+        self.router = control.Router(self, config.deployment)
 
     # What comes in.
 
-    def on_news(self, news: News) -> None:
+    def on_list_update(self, update: EngineListUpdate) -> None:
         """Discovery's word. What is left out of a whole list counts as gone."""
-        at, ahead, entries = now(), wall_ahead(), []
-        for entry, address in news.entries:
-            known = self.endpoints.get(entry.engine)
-            if address or known:  # without an address, only what is known already can be told of
-                address = address or known.link.address
+        at, clock_offset, entries = now(), wall_ahead(), []
+        for entry, address in update.entries:
+            endpoint = self.endpoints.get(entry.engine)
+            if address or endpoint:  # without an address, only what is known already can be told of
+                address = address or endpoint.link.address
                 self._note(entry.engine, address, entry.kind, entry.readiness, at).zone = entry.zone
-                up_since = self.starts.up_since(entry.engine, entry.up_since, at, ahead)
+                up_since = self.starts.up_since(entry.engine, entry.up_since, at, clock_offset)
                 entries.append(replace(entry, up_since=up_since))
         self.starts.listed(at)
-        if news.whole:
+        if update.is_snapshot:
             self._only({entry.engine for entry in entries}, at)
-        self.router.on_engines(entries, news.whole)
+        self.router.on_engines(entries, update.is_snapshot)
 
     def _link(self, address: str) -> Link:
-        bounds = (engines.HEAD_BYTES, engines.PIECE_BYTES)
-        return Link(address, self._start.connect_within / 1e6, self._lasting, bounds, self._unused)
+        limits = (engines.MAX_HEAD_BYTES, engines.MAX_CHUNK_BYTES)
+        return Link(
+            address, self._config.connect_timeout / 1e6, self._lasting, limits, self._idle_connections
+        )
 
     async def answer(self, message: Message, reply: Reply) -> None:
         """A client's message, from its last byte to the end of its answer."""
-        if message.path == clients.READY and message.method == "GET":
-            return reply.whole(200 if self._served and self.current() else 503, b"")
+        if message.path == clients.READY_PATH and message.method == "GET":
+            return reply.whole(200 if self._can_serve and self.list_is_current() else 503, b"")
         try:
-            demand = clients.demand_of(message, self._next, self._groups, self.waited(message))
-            client_id = message.headers[clients.ID]
-            if client_id in self._open_ids:
+            demand = clients.parse_request(message, self._next, self._groups, self.waited(message))
+            request_id = message.headers[clients.ID_HEADER]
+            if request_id in self._open_request_ids:
                 raise HttpError(409, "a req with this id is open")
-        except HttpError as problem:
+        except HttpError as error:
             reply.keep_alive = False
-            return reply.whole(problem.status, clients.error(problem.status, "bad_req", problem.said))
+            return reply.whole(error.status, clients.error_body(error.status, "bad_req", error.said))
         self._next += 1
-        guard = self._guard(client_id, demand.group, demand.budget)
-        pending = PendingRequest(id=demand.id, reply=reply, guard=guard, group=demand.group, message=message)
+        guard = self._guard(request_id, demand.group, demand.budget)
+        pending = PendingRequest(
+            id=demand.id, reply=reply, guard=guard, request_class=demand.group, message=message
+        )
         self.pending_requests[pending.id] = pending
-        self._open_ids.add(client_id)
+        self._open_request_ids.add(request_id)
         self.empty.clear()
         reply.left = lambda: self._left(pending)
         self._note_event(pending, Event.TAKEN, detail=f"class={demand.group} prompt={demand.prompt}")
@@ -119,7 +123,7 @@
         self._forget(pending)
 
     @property
-    def _served(self) -> bool:
+    def _can_serve(self) -> bool:
         """Whether a request would be: some engine is there for it."""
         return any(
             endpoint.readiness == "ready" and endpoint.kind in self._roles
@@ -137,15 +141,15 @@
 
     # What the module does.
 
-    def push_back(self, req: int, hold_off: int) -> None:
-        pending = self.pending_requests[req]
+    def push_back(self, request: int, retry_after: int) -> None:
+        pending = self.pending_requests[request]
         if self._answered(pending, "pushed back"):
-            pending.reply.whole(*clients.push_back(hold_off))
+            pending.reply.whole(*clients.rejection(retry_after))
 
-    def abort(self, req: int) -> None:
-        pending = self.pending_requests[req]
+    def abort(self, request: int) -> None:
+        pending = self.pending_requests[request]
         if self._answered(pending, "aborted"):
-            pending.reply.whole(*clients.abort())
+            pending.reply.whole(*clients.failure())
 
     def probe(self, engine: str) -> None:
         self._spawn(self._probe(engine), f"a probe of {engine}")
@@ -157,23 +161,25 @@
         attempt.started = True
         endpoint = self.endpoints[attempt.engine]
         connection: Connection | None = None
-        observation, note, report = Observation.CALLED_OFF, 0, None
+        observation, cached_tokens, report = Observation.CALLED_OFF, 0, None
         self._note_event(pending, Event.CONNECTING, attempt)
-        self._connections += 1
-        self._make_room()
+        self._connections_in_use += 1
+        self._enforce_connection_limit()
         try:
-            async with asyncio.timeout((abandon_at - now()) / 1e6) as limit:
+            async with asyncio.timeout((abandon_at - now()) / 1e6) as timeout:
                 if attempt.called_off:
                     raise asyncio.CancelledError
                 # A kept connection that was dropped at the other end can't be told from an attempt that ran.
-                may_repeat = attempt.reading or self._groups[pending.group].effect is Effect.REPLAYABLE
-                fetches_again = attempt.work is Work.FETCH and attempt.number > 1
-                for fresh in (not may_repeat or fetches_again, *[True] * engines.CONNECT_AGAIN):
+                is_repeatable = (
+                    attempt.reading or self._groups[pending.request_class].effect is Effect.REPLAYABLE
+                )
+                is_repeated_fetch = attempt.work is Work.FETCH and attempt.number > 1
+                for fresh in (not is_repeatable or is_repeated_fetch, *[True] * engines.MAX_RECONNECTS):
                     connection = None
                     try:
-                        connection = await self._connection(pending, attempt, endpoint, fresh)
-                        observation, note, report = await self._exchange(
-                            pending, attempt, endpoint, connection, limit, abandon_at
+                        connection = await self._connect(pending, attempt, endpoint, fresh)
+                        observation, cached_tokens, report = await self._send_and_receive(
+                            pending, attempt, endpoint, connection, timeout, abandon_at
                         )
                         break
                     except UnwrittenError:  # reset before all of it was written: none of it was taken
@@ -184,20 +190,20 @@
             observation = Observation.OUT_OF_TIME if connection else Observation.NO_CONNECTION
             if pending.begun:
                 observation = Observation.STALLED
-                _say_once(endpoint, attempt.engine, "a stream fell silent and was cut")
+                _log_once(endpoint, attempt.engine, "a stream fell silent and was cut")
         except asyncio.CancelledError:
             if not attempt.called_off:
                 raise  # the process ends
             observation = Observation.CALLED_OFF
         except OSError:
             observation = Observation.CUT if connection else Observation.NO_CONNECTION
-        except HttpError as problem:
+        except HttpError as error:
             observation = Observation.STRANGE
-            _say_once(endpoint, attempt.engine, f"strange answer: {problem.said[:120]}")
+            _log_once(endpoint, attempt.engine, f"strange answer: {error.said[:120]}")
         except Exception:  # guards all other requests against a fault of ours in this one
             observation = Observation.CUT
             log.exception("a forward to %s", attempt.engine)
-        self._connections -= 1
+        self._connections_in_use -= 1
         if connection and observation is Observation.CUT:
             endpoint.link.broke(connection)
         elif connection and connection.uses and not connection.answered:
@@ -206,9 +212,9 @@
             reason = f"reason={observation.name.lower()} work={attempt.work.value}"
             self._report_event(pending, Event.CLOSED, attempt, f"{reason} {connection or ''}")
         await self._part(pending, attempt, endpoint, connection, observation)
-        self._over(pending, attempt, observation, note, report)
+        self._finish_attempt(pending, attempt, observation, cached_tokens, report)
 
-    async def _connection(
+    async def _connect(
         self, pending: PendingRequest, attempt: AttemptInFlight, endpoint: Endpoint, fresh: bool
     ) -> Connection:
         """A connection for an attempt. A kept one may have fallen silent with no error, so it is asked first:
@@ -217,8 +223,8 @@
         connection = await endpoint.link.take(fresh)
         if not connection.uses or attempt.work is Work.FETCH:
             return connection
-        question = engines.release(pending.guard.request)
-        if await connection.answers(question, CHECK_WITHIN):
+        release_request = engines.encode_release(pending.guard.request)
+        if await connection.answers(release_request, CONNECTION_CHECK_TIMEOUT):
             return connection
         self._report_event(pending, Event.CLOSED, attempt, f"reason=silent {connection}")
         endpoint.link.broke(connection)
@@ -226,56 +232,56 @@
         endpoint.link.close()  # others that rest may be silent as well
         return await endpoint.link.take(fresh=True)
 
-    async def _exchange(
+    async def _send_and_receive(
         self,
         pending: PendingRequest,
         attempt: AttemptInFlight,
         endpoint: Endpoint,
         connection: Connection,
-        limit: asyncio.Timeout,
+        timeout: asyncio.Timeout,
         due_at: int,
     ) -> tuple[Observation, int, LoadReport | None]:
         """Sends an attempt and reads its answer: what was seen, tokens found kept, the load told with it."""
         if refused := self._refused(pending, attempt, endpoint):
             return refused, 0, None
         self._note_event(pending, Event.WRITING, attempt, f"uses={connection.uses}")
-        await connection.send(engines.forward(pending.message, due_at - attempt.sent_at))
+        await connection.send(engines.encode_attempt(pending.message, due_at - attempt.sent_at))
         pending.guard.written(attempt)
         self.router.on_written(pending.id, attempt.number, connection.uses > 0)
         self._note_event(pending, Event.WRITTEN, attempt)
         head = await connection.head()
-        endpoint.heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, attempt.sent_at)
+        endpoint.last_heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, attempt.sent_at)
         self._note_event(pending, Event.CONFIRMED, attempt, f"status={head.status}")
-        report = engines.report_with(head.headers)
+        report = engines.load_report_in(head.headers)
         observation = engines.observation_of(head)
         pending.guard.confirmed_by(attempt)
         if observation is Observation.STATE_GONE:
             pending.guard.state_gone()
         if observation:
-            body = await connection.rest(engines.ANSWER_BYTES)
+            body = await connection.rest(engines.MAX_ANSWER_BYTES)
             if observation is not Observation.READ:
                 return observation, 0, report
             pending.guard.leased(attempt, now())
             self._note_event(pending, Event.LEASED, attempt)
-            return observation, engines.tokens_kept(body), report
-        return await self._stream(pending, attempt, connection, limit)
+            return observation, engines.cached_tokens_in(body), report
+        return await self._relay_stream(pending, attempt, connection, timeout)
 
-    async def _stream(
+    async def _relay_stream(
         self,
         pending: PendingRequest,
         attempt: AttemptInFlight,
         connection: Connection,
-        limit: asyncio.Timeout,
+        timeout: asyncio.Timeout,
     ) -> tuple[Observation, int, LoadReport | None]:
         """Relays a writer's events as they come. Until the first has, another attempt is possible."""
-        events, guarded_at = engines.Events(), 0.0
-        held_back = b""
+        events, timer_set_at = engines.EventStream(), 0.0
+        buffered = b""
         while data := await connection.more():
-            passes = held_back + events.feed(data)
+            complete_events = buffered + events.feed(data)
             if not events.begun:
-                held_back = passes
+                buffered = complete_events
                 continue
-            held_back = b""
+            buffered = b""
             if pending.ended:
                 return Observation.CALLED_OFF, 0, None
             if not pending.begun:
@@ -285,185 +291,202 @@
                 self._note_event(pending, Event.FETCHED, attempt)
                 pending.message.body = b""  # there is no further attempt, and streams are long
                 self.router.on_begun(pending.id, attempt.number, now() - attempt.sent_at)
-                pending.reply.begin({}, passes)
-                room = True
+                pending.reply.begin({}, complete_events)
+                has_room = True
             else:
-                room = pending.reply.send(passes) if passes else True
-            if not room:
-                limit.reschedule(None)  # a slow client is not a silent engine
+                has_room = pending.reply.send(complete_events) if complete_events else True
+            if not has_room:
+                timeout.reschedule(None)  # a slow client is not a silent engine
                 await pending.reply.room()
-                guarded_at = 0.0
-            if self._loop.time() > guarded_at + engines.SILENT_FOR / 8:
-                guarded_at = self._loop.time()
-                limit.reschedule(guarded_at + engines.SILENT_FOR * 9 / 8)
-        if not pending.begun or not events.whole:
+                timer_set_at = 0.0
+            if self._loop.time() > timer_set_at + engines.STREAM_SILENCE_TIMEOUT / 8:
+                timer_set_at = self._loop.time()
+                timeout.reschedule(timer_set_at + engines.STREAM_SILENCE_TIMEOUT * 9 / 8)
+        if not pending.begun or not events.is_complete:
             raise HttpError(502, "a stream that is not whole")
         if self._answered(pending, "done"):
             pending.reply.end()
-        return Observation.WRITTEN, events.kept, events.report
+        return Observation.WRITTEN, events.cached_tokens, events.report
 
-    def _over(
+    def _finish_attempt(
         self,
         pending: PendingRequest,
         attempt: AttemptInFlight,
         observation: Observation,
-        note: int,
+        cached_tokens: int,
         report: LoadReport | None,
     ) -> None:
         """Tells how an attempt ended. A stream that broke at its client ends with no last chunk."""
-        ending, mark = engines.ENDINGS[observation]
+        outcome, outcome_note = engines.OUTCOMES[observation]
         self._ended(pending, attempt, observation)
         if pending.begun and self._answered(pending, "broken"):
             pending.reply.cut()
         final = pending.ended != ""
-        took = now() - attempt.sent_at
-        self._note_event(pending, Event.ENDED, attempt, f"outcome={observation.name.lower()} took_us={took}")
+        took_us = now() - attempt.sent_at
+        self._note_event(
+            pending, Event.ENDED, attempt, f"outcome={observation.name.lower()} took_us={took_us}"
+        )
         with self._telling(pending):
             self.router.on_ended(
-                pending.id, attempt.number, attempt.engine, ending, took, note or mark, final, report
+                pending.id,
+                attempt.number,
+                attempt.engine,
+                outcome,
+                took_us,
+                cached_tokens or outcome_note,
+                final,
+                report,
             )
         if pending.ended and pending.attempt is None:
             self.free_state(pending.id)  # guards rule 5 where the module has forgotten the request
         self._forget(pending)
 
-    def _make_room(self) -> None:
+    def _enforce_connection_limit(self) -> None:
         """Engines' connections stay within their part of the descriptors: the longest unused one goes, then
         an idle client. What is out for clients stays within: there are fewer of those (start.CLIENTS)."""
         while (
-            self._unused and self._connections + len(self._unused) + len(self._ending) > self.most_connections
+            self._idle_connections
+            and self._connections_in_use + len(self._idle_connections) + len(self._ending)
+            > self.max_connections
         ):
-            next(iter(self._unused.values())).drop_oldest()
-        while self._ending and self._connections + len(self._ending) > self.most_connections:
+            next(iter(self._idle_connections.values())).drop_oldest()
+        while self._ending and self._connections_in_use + len(self._ending) > self.max_connections:
             self._drop_ending()
-        if self._connections > self.most_connections:
-            self.shed()
+        if self._connections_in_use > self.max_connections:
+            self.close_idle_client()
 
     async def _ask_to_release(self, guard: RequestGuard) -> int:
         """Asks more and more engines until one has answered, as any of them passes a release on. All but the
         first question go on connections of their own: what is kept may be silent, as whatever led to the
         release may have been."""
         began, holder = now(), guard.held_at
-        beside = guard.attempt.engine if guard.attempt else "none"
+        in_flight = guard.attempt.engine if guard.attempt else "none"
         reason = guard.final or "lease"
-        detail = f"reason={reason} in_flight={beside} holders={','.join(guard.holders.values())}"
+        detail = f"reason={reason} in_flight={in_flight} holders={','.join(guard.holders.values())}"
         self.events.report(began, Event.RELEASING, guard.request, engine=holder, detail=detail)
-        asked_at = await self._ask_each(holder, engines.release(guard.request))
-        took = now() - began
-        if asked_at:
-            beside = guard.attempt.engine if guard.attempt else "none"
-            detail = f"took_us={took} asked_at_us={asked_at} in_flight={beside}"
+        sent_at = await self._release_at_engines(holder, engines.encode_release(guard.request))
+        took_us = now() - began
+        if sent_at:
+            in_flight = guard.attempt.engine if guard.attempt else "none"
+            detail = f"took_us={took_us} asked_at_us={sent_at} in_flight={in_flight}"
             self.events.report(now(), Event.RELEASED, guard.request, engine=holder, detail=detail)
         else:
             self.events.report(now(), Event.RELEASE_UNANSWERED, guard.request, engine=holder)
-        return asked_at
+        return sent_at
 
-    async def _ask_each(self, holder: str, question: bytes) -> int:
+    async def _release_at_engines(self, holder: str, release_request: bytes) -> int:
         """When the first question that was answered was sent, 0 if none was."""
-        answered, asked_at = asyncio.Event(), 0
+        answered, sent_at = asyncio.Event(), 0
 
-        async def ask(engine: str, fresh: bool) -> None:
-            nonlocal asked_at
+        async def ask_engine(engine: str, fresh: bool) -> None:
+            nonlocal sent_at
             began = now()
-            answer = await self._ask(engine, question, RELEASE_WITHIN, fresh)
-            if answer and answer[0].status in engines.RELEASED:
-                asked_at = asked_at or began
+            answer = await self._query_engine(engine, release_request, RELEASE_TIMEOUT, fresh)
+            if answer and answer[0].status in engines.RELEASE_TAKEN_STATUSES:
+                sent_at = sent_at or began
                 answered.set()
             elif answer and (endpoint := self.endpoints.get(engine)):
-                _say_once(endpoint, engine, f"a release was answered with {answer[0].status}")
+                _log_once(endpoint, engine, f"a release was answered with {answer[0].status}")
 
-        async with asyncio.TaskGroup() as asking:
+        async with asyncio.TaskGroup() as queries:
             tasks = []
-            for turn, pause in enumerate(RELEASE_PAUSES):
-                asked = [holder, *self._last_heard(holder, turn - 1)] if turn else [holder]
-                tasks += [asking.create_task(ask(engine, turn > 0)) for engine in asked]
+            for round_number, pause in enumerate(RELEASE_PAUSES):
+                engines_asked = (
+                    [holder, *self._recently_heard(holder, round_number - 1)] if round_number else [holder]
+                )
+                tasks += [
+                    queries.create_task(ask_engine(engine, round_number > 0)) for engine in engines_asked
+                ]
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(pause):
                         await answered.wait()
                         break
             for task in tasks:
                 task.cancel()
-        return asked_at
+        return sent_at
 
-    def _last_heard(self, holder: str, turn: int) -> list[str]:
+    def _recently_heard(self, holder: str, round_number: int) -> list[str]:
         """The engine last heard of in each zone, or the one before it at a later turn: a zone that is cut off
         was heard of until a moment ago."""
-        there: dict[str, list[str]] = {self._start.deployment.zone: []}
-        for name in sorted(self.endpoints, key=lambda name: -self.endpoints[name].heard_at):
+        names_by_zone: dict[str, list[str]] = {self._config.deployment.zone: []}
+        for name in sorted(self.endpoints, key=lambda name: -self.endpoints[name].last_heard_at):
             if name != holder and self.endpoints[name].readiness != "gone":
-                there.setdefault(self.endpoints[name].zone, []).append(name)
-        zones = [names for names in there.values() if names][:RELEASE_ZONES]
-        return [names[turn % len(names)] for names in zones]
+                names_by_zone.setdefault(self.endpoints[name].zone, []).append(name)
+        zones = [names for names in names_by_zone.values() if names][:MAX_RELEASE_ZONES]
+        return [names[round_number % len(names)] for names in zones]
 
     async def _is_answered(self, engine: str, guard: RequestGuard) -> bool:
         """Any engine takes a release of a request that is over, and any status shows that it runs."""
-        answer = await self._ask(engine, engines.release(guard.request), RUNS_WITHIN, fresh=True)
+        answer = await self._query_engine(
+            engine, engines.encode_release(guard.request), LIVENESS_TIMEOUT, fresh=True
+        )
         detail = f"answered={'no' if answer is None else 'yes'}"
         self.events.report(now(), Event.CHECKED, guard.request, engine=engine, detail=detail)
         return answer is not None
 
     async def _probe(self, engine: str) -> None:
-        answer = await self._ask(engine, engines.PROBE, ASK_WITHIN)
+        answer = await self._query_engine(engine, engines.PROBE_REQUEST, PROBE_TIMEOUT)
         report = None
         if answer:
             head, body = answer
-            report = engines.report_with(head.headers) or engines.report_of(body.decode("latin-1"))
+            report = engines.load_report_in(head.headers) or engines.parse_load_report(body.decode("latin-1"))
         self.router.on_probed(engine, report)
 
-    async def _ask(
+    async def _query_engine(
         self, engine: str, data: bytes, within: float, fresh: bool = False
     ) -> tuple[Message, bytes] | None:
         """One short question; None if it was not answered in time."""
         endpoint = self.endpoints.get(engine)
         if endpoint is None:
             return None  # gone, and forgotten since
-        self._connections += 1
+        self._connections_in_use += 1
         began = now()
         try:
-            self._make_room()
+            self._enforce_connection_limit()
             answer = await endpoint.link.ask(data, within, fresh)
             if answer:
-                endpoint.heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, began)
+                endpoint.last_heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, began)
             return answer
         finally:
-            self._connections -= 1
+            self._connections_in_use -= 1
 
-    async def look_after_links(self) -> None:
+    async def maintain_links(self) -> None:
         """Closes what waits unused for too long, forgets engines that are gone, as new ones come all day, and
         looks for states that are held for too long."""
         while True:
-            due_at = now() + int(SWEEP_EVERY * 1e6)
-            await asyncio.sleep(SWEEP_EVERY)
-            if (late := now() - due_at) > LATE:
-                log.warning("the event loop is %d ms late", late // 1000)
+            due_at = now() + int(SWEEP_INTERVAL * 1e6)
+            await asyncio.sleep(SWEEP_INTERVAL)
+            if (delay := now() - due_at) > LOGGED_LOOP_DELAY:
+                log.warning("the event loop is %d ms late", delay // 1000)
             await self.judge_held_states()
-            past, in_use = now() - GONE_FOR, self._in_use()
+            forget_before, in_use = now() - FORGET_GONE_AFTER, self._engines_in_use()
             for name, endpoint in list(self.endpoints.items()):
                 endpoint.link.sweep()
-                if endpoint.readiness == "gone" and endpoint.told_at < past and name not in in_use:
+                if endpoint.readiness == "gone" and endpoint.told_at < forget_before and name not in in_use:
                     endpoint.link.close()
                     del self.endpoints[name]
 
-    def _in_use(self) -> set[str]:
-        hands = self.pending_requests.values()
-        guards = [*(pending.guard for pending in hands), *self._releases.guards]
+    def _engines_in_use(self) -> set[str]:
+        pending_requests = self.pending_requests.values()
+        guards = [*(pending.guard for pending in pending_requests), *self._releases.guards]
         holders = {engine for guard in guards for engine in guard.holders.values()}
-        return {pending.attempt.engine for pending in hands if pending.attempt} | holders
+        return {pending.attempt.engine for pending in pending_requests if pending.attempt} | holders
 
     # The end of a request.
 
     def _answered(self, pending: PendingRequest, ended: str) -> bool:
-        first = super()._answered(pending, ended)
-        if first and ended == "done":
+        is_first = super()._answered(pending, ended)
+        if is_first and ended == "done":
             self._note_event(pending, Event.ANSWERED, detail=f"reason={ended}")
-        elif first:
+        elif is_first:
             self._report_event(pending, Event.ANSWERED, detail=f"reason={ended} attempts={pending.attempts}")
-        return first
+        return is_first
 
     def _forget(self, pending: PendingRequest) -> bool:
         if not super()._forget(pending):
             return False
         self._note_event(pending, Event.FORGOTTEN)
-        self._open_ids.discard(pending.message.headers[clients.ID])
+        self._open_request_ids.discard(pending.message.headers[clients.ID_HEADER])
         return True
 
     # Evidence.
@@ -476,7 +499,9 @@
         self, pending: PendingRequest, event: Event, attempt: AttemptInFlight | None = None, detail: str = ""
     ) -> Record:
         number, engine = (attempt.number, attempt.engine) if attempt else (-1, "")
-        return self.events.note(now(), event, pending.message.headers[clients.ID], number, engine, detail)
+        return self.events.note(
+            now(), event, pending.message.headers[clients.ID_HEADER], number, engine, detail
+        )
 
     def _report_event(
         self, pending: PendingRequest, event: Event, attempt: AttemptInFlight | None = None, detail: str = ""
@@ -484,8 +509,8 @@
         self.events.log(self._note_event(pending, event, attempt, detail))
 
 
-def _say_once(endpoint: Endpoint, engine: str, what: str) -> None:
+def _log_once(endpoint: Endpoint, engine: str, text: str) -> None:
     """Once for an engine, not once for a request."""
-    if what not in endpoint.said and len(endpoint.said) < SAID_MOST:
-        endpoint.said.add(what)
-        log.warning("%s: %s", engine, what)
+    if text not in endpoint.logged and len(endpoint.logged) < MAX_LOGGED_PER_ENGINE:
+        endpoint.logged.add(text)
+        log.warning("%s: %s", engine, text)
--- a/lifthead/node/serve.py
+++ b/lifthead/node/serve.py
@@ -11,108 +11,121 @@
 
 from lifthead.chat.server import Clients
 from lifthead.node import clients, start
-from lifthead.node.discovery import Follower
+from lifthead.node.discovery import Watch
 from lifthead.node.host import Host
-from lifthead.node.signals import block_at_exit, early_reload
-from lifthead.node.start import Start, StartError
+from lifthead.node.signals import block_signals_at_exit, early_reload
+from lifthead.node.start import ConfigError, NodeConfig
 
 BACKLOG = 1024
-ENTRY_FOR = 0.55  # seconds after SIGTERM for which new connections are still taken: the front hears late
-SHUT_AT = 0.7  # ... and for which requests are: what comes later may be found unanswered by SIGKILL
-LISTED_WITHIN = 0.3  # seconds for discovery's first word, until which the list in hand may be an old one
+ACCEPT_CONNECTIONS_FOR = (
+    0.55  # seconds after SIGTERM for which new connections are still taken: the front hears late
+)
+ACCEPT_REQUESTS_FOR = (
+    0.7  # ... and for which requests are: what comes later may be found unanswered by SIGKILL
+)
+FIRST_UPDATE_TIMEOUT = (
+    0.3  # seconds for discovery's first word, until which the list in hand may be an old one
+)
 
 log = logging.getLogger("lifthead.node")
 
 
 @dataclass(slots=True)
-class Bounds:
+class ClientLimits:
     """What clients may send and hold."""
 
     connections: int
-    header_bytes: int = clients.HEAD_BYTES
-    body_bytes: int = clients.BODY_BYTES
-    header_within: int = clients.REST_WITHIN
-    body_within: int = clients.REST_WITHIN
-    idle_for: int = clients.IDLE_FOR
+    header_bytes: int = clients.MAX_HEAD_BYTES
+    body_bytes: int = clients.MAX_BODY_BYTES
+    header_within: int = clients.RECEIVE_TIMEOUT
+    body_within: int = clients.RECEIVE_TIMEOUT
+    idle_for: int = clients.IDLE_TIMEOUT
 
 
-def listener(address: tuple[str, int]) -> socket.socket:
-    listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    listening.bind(address)
-    listening.listen(BACKLOG)
-    listening.setblocking(False)
-    return listening
+def open_listening_socket(address: tuple[str, int]) -> socket.socket:
+    listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listening_socket.bind(address)
+    listening_socket.listen(BACKLOG)
+    listening_socket.setblocking(False)
+    return listening_socket
 
 
-async def serve(path: str, told: Start) -> None:
+async def serve(path: str, config: NodeConfig) -> None:
     loop = asyncio.get_running_loop()
-    stop, again = asyncio.Event(), asyncio.Event()
+    stop, reload = asyncio.Event(), asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, again.set)
-    if early_reload.came:
-        again.set()
+    loop.add_signal_handler(signal.SIGHUP, reload.set)
+    if early_reload.received:
+        reload.set()
     async with asyncio.TaskGroup() as tasks:
-        host = Host(told, tasks)
+        host = Host(config, tasks)
         loop.add_signal_handler(signal.SIGUSR1, host.events.dump, "SIGUSR1")
-        if told.known:
-            host.on_news(told.known)
+        if config.initial_list:
+            host.on_list_update(config.initial_list)
             host.starts.begin_anew()  # it may be an old list
-        version = told.known.version if told.known else 0
-        shared = told.deployment.must_ask
-        follower = Follower(told.discovery, version, host.on_news, told.deployment.seed, shared)
-        door = Clients(Bounds(told.clients), host.answer, clients.error, clients.FIRST_WITHIN)
-        host.shed = door.make_room
-        latest = loop.time() + LISTED_WITHIN
-        host.current = lambda: follower.heard or loop.time() > latest
-        listening = listener(told.listen)
-        lasting = [
-            tasks.create_task(follower.follow()),
-            tasks.create_task(host.look_after_links()),
-            tasks.create_task(read_again(path, again, follower, door, host)),
+        version = config.initial_list.version if config.initial_list else 0
+        shared = config.deployment.must_ask
+        watch = Watch(config.discovery, version, host.on_list_update, config.deployment.seed, shared)
+        client_listener = Clients(
+            ClientLimits(config.max_client_connections),
+            host.answer,
+            clients.error_body,
+            clients.FIRST_REQUEST_TIMEOUT,
+        )
+        host.close_idle_client = client_listener.make_room
+        list_deadline = loop.time() + FIRST_UPDATE_TIMEOUT
+        host.list_is_current = lambda: watch.has_update or loop.time() > list_deadline
+        listening_socket = open_listening_socket(config.listen)
+        background_tasks = [
+            tasks.create_task(watch.run()),
+            tasks.create_task(host.maintain_links()),
+            tasks.create_task(reload_on_signal(path, reload, watch, client_listener, host)),
         ]
-        accepting = tasks.create_task(door.accept(listening, tasks))
+        accepting = tasks.create_task(client_listener.accept(listening_socket, tasks))
         gc.collect()
         gc.freeze()  # what is there now stays: the collector need not look at it again
         gc.set_threshold(20_000, 20, 50)
-        log.info("%s listens at %s:%d", told.name, *told.listen)
+        log.info("%s listens at %s:%d", config.name, *config.listen)
         await stop.wait()
-        await asyncio.sleep(ENTRY_FOR)
-        door.stop(SHUT_AT - ENTRY_FOR)
+        await asyncio.sleep(ACCEPT_CONNECTIONS_FOR)
+        client_listener.stop(ACCEPT_REQUESTS_FOR - ACCEPT_CONNECTIONS_FOR)
         await accepting
-        listening.close()
+        listening_socket.close()
         await host.empty.wait()
-        await door.closed()
-        for task in lasting:
+        await client_listener.closed()
+        for task in background_tasks:
             task.cancel()
         host.close()
     host.check_held_states(at_exit=True)
-    block_at_exit()
-    log.info("%s stopped, invariant violations: %s", told.name, host.violations)
+    block_signals_at_exit()
+    log.info("%s stopped, invariant violations: %s", config.name, host.violations)
 
 
-async def read_again(path: str, again: asyncio.Event, follower: Follower, door: Clients, host: Host) -> None:
+async def reload_on_signal(
+    path: str, reload: asyncio.Event, watch: Watch, client_listener: Clients, host: Host
+) -> None:
     """A new configuration under the same path. One that can't be used leaves all as it is."""
     while True:
-        await again.wait()
-        again.clear()
+        await reload.wait()
+        reload.clear()
         try:
-            told = start.read(path)
-        except StartError as problem:
-            log.error("the new configuration is not used: %s", problem)
+            config = start.read_config(path)
+        except ConfigError as error:
+            log.error("the new configuration is not used: %s", error)
             continue
-        log.info("new configuration: discovery is at %s:%d", *told.discovery)
-        follower.turn_to(told.discovery)
-        door.limits = Bounds(told.clients)
-        host.most_connections = told.engines
+        log.info("new configuration: discovery is at %s:%d", *config.discovery)
+        watch.set_address(config.discovery)
+        client_listener.limits = ClientLimits(config.max_client_connections)
+        host.max_connections = config.max_engine_connections
 
 
 def main() -> None:
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     path = os.environ.get("NODE_CONFIG", "")
     try:
-        told = start.read(path)
-    except StartError as problem:
-        sys.exit(f"lifthead.node: {problem}")
-    asyncio.run(serve(path, told))
+        config = start.read_config(path)
+    except ConfigError as error:
+        sys.exit(f"lifthead.node: {error}")
+    asyncio.run(serve(path, config))
--- a/lifthead/node/signals.py
+++ b/lifthead/node/signals.py
@@ -7,25 +7,25 @@
 import signal
 from types import FrameType
 
-AT_EXIT = frozenset((signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
+BLOCKED_AT_EXIT = frozenset((signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
 
 
 class EarlyReload:
     """Remembers a SIGHUP until the event loop has a handler of its own."""
 
     def __init__(self) -> None:
-        self.came = False
+        self.received = False
 
-    def listen(self) -> None:
-        signal.signal(signal.SIGHUP, self._remember)
+    def install(self) -> None:
+        signal.signal(signal.SIGHUP, self._on_signal)
 
-    def _remember(self, _number: int, _frame: FrameType | None) -> None:
-        self.came = True
+    def _on_signal(self, _number: int, _frame: FrameType | None) -> None:
+        self.received = True
 
 
 early_reload = EarlyReload()
 
 
-def block_at_exit() -> None:
+def block_signals_at_exit() -> None:
     """The loop takes its handlers along when it closes: until the process is gone, these signals wait."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, AT_EXIT)
+    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_AT_EXIT)
--- a/lifthead/node/start.py
+++ b/lifthead/node/start.py
@@ -8,20 +8,22 @@
 
 from lifthead.http1 import address_of
 from lifthead.interface import Deployment
-from lifthead.node.discovery import News, StrangeNewsError, news_of
+from lifthead.node.discovery import EngineListUpdate, MalformedUpdateError, parse_update
 from lifthead.terms import Fields, MalformedError, deployment_of, flat, whole
 
-OWN = 24  # descriptors for the program itself: its listener, discovery, the loop, the standard streams
+RESERVED_DESCRIPTORS = (
+    24  # descriptors for the program itself: its listener, discovery, the loop, the standard streams
+)
 # Part of the others that clients' connections may hold; engines' have the rest. Each client's open request
 # may need one of those, and probes and releases come besides: with half, clients could use up all.
-CLIENTS = 0.45
+CLIENT_SHARE = 0.45
 
 
-class StartError(Exception):
+class ConfigError(Exception):
     """The configuration can't be used; says why."""
 
 
-class _File(msgspec.Struct):
+class _ConfigFile(msgspec.Struct):
     name: str
     listen: str
     discovery: str
@@ -32,65 +34,65 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class NodeConfig:
     """All that the node's parts are started with. Times are microseconds."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     deployment: Deployment
-    known: News | None
-    clients: int  # connections that clients may hold
-    engines: int  # ... and those to engines
-    idle_close: int  # an engine's end closes a connection that was idle for so long
-    connect_within: int
+    initial_list: EngineListUpdate | None
+    max_client_connections: int  # connections that clients may hold
+    max_engine_connections: int  # ... and those to engines
+    engine_idle_timeout: int  # an engine's end closes a connection that was idle for so long
+    connect_timeout: int
 
 
-def read(path: str) -> Start:
+def read_config(path: str) -> NodeConfig:
     """The configuration at this path; StartError if it can't be used."""
     try:
         with open(path, "rb") as file:
-            return start_of(file.read())
-    except OSError as problem:
-        raise StartError(f"{path}: {problem.strerror}") from None
-    except StartError as problem:
-        raise StartError(f"{path}: {problem}") from None
+            return parse_config(file.read())
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from None
+    except ConfigError as error:
+        raise ConfigError(f"{path}: {error}") from None
 
 
-def start_of(data: bytes) -> Start:
+def parse_config(data: bytes) -> NodeConfig:
     try:
-        file = msgspec.json.decode(data, type=_File)
-        env = flat(file.settings)
-        env["Nonce64"] = str(_of("seed", lambda text: int(text, 16), file.seed or "0"))
-        deployment = deployment_of(env)
-        listen = _of("listen", address_of, file.listen)
-        discovery = _of("discovery", address_of, file.discovery)
-        known = _of("known", news_of, bytes(file.known)) if file.known else None
-        sockets = _of("limits.sockets", int, file.limits.get("sockets", 1024))
-    except (msgspec.DecodeError, UnicodeDecodeError, MalformedError) as problem:
-        raise StartError(str(problem)) from None
-    free = max(sockets - OWN, 2)
-    clients = int(free * CLIENTS)
-    return Start(
+        file = msgspec.json.decode(data, type=_ConfigFile)
+        settings = flat(file.settings)
+        settings["Nonce64"] = str(_parse_field("seed", lambda text: int(text, 16), file.seed or "0"))
+        deployment = deployment_of(settings)
+        listen = _parse_field("listen", address_of, file.listen)
+        discovery = _parse_field("discovery", address_of, file.discovery)
+        initial_list = _parse_field("known", parse_update, bytes(file.known)) if file.known else None
+        sockets = _parse_field("limits.sockets", int, file.limits.get("sockets", 1024))
+    except (msgspec.DecodeError, UnicodeDecodeError, MalformedError) as error:
+        raise ConfigError(str(error)) from None
+    available = max(sockets - RESERVED_DESCRIPTORS, 2)
+    max_client_connections = int(available * CLIENT_SHARE)
+    return NodeConfig(
         name=file.name,
         listen=listen,
         discovery=discovery,
         deployment=deployment,
-        known=known,
-        clients=clients,
-        engines=free - clients,
-        idle_close=_limit(env, "IdleClose", 15_000_000),
-        connect_within=_limit(env, "DialTimeout", 250_000),
+        initial_list=initial_list,
+        max_client_connections=max_client_connections,
+        max_engine_connections=available - max_client_connections,
+        engine_idle_timeout=_policy_limit(settings, "IdleClose", 15_000_000),
+        connect_timeout=_policy_limit(settings, "DialTimeout", 250_000),
     )
 
 
-def _of(name: str, read: Callable[[Any], Any], told: Any) -> Any:
+def _parse_field(name: str, parse: Callable[[Any], Any], value: Any) -> Any:
     """A field's meaning; StartError that names the field if it has none."""
     try:
-        return read(told)
-    except (ValueError, OverflowError, StrangeNewsError) as problem:
-        raise StartError(f"{name}: {problem}") from None
+        return parse(value)
+    except (ValueError, OverflowError, MalformedUpdateError) as error:
+        raise ConfigError(f"{name}: {error}") from None
 
 
-def _limit(env: Fields, name: str, usual: int) -> int:
-    return whole(env, f"PolicyLimits.{name}", usual) or usual
+def _policy_limit(settings: Fields, name: str, default: int) -> int:
+    return whole(settings, f"PolicyLimits.{name}", default) or default
--- a/tests/onenode.py
+++ b/tests/onenode.py
@@ -9,10 +9,10 @@
 from lifthead.chat.server import Clients
 from lifthead.http1 import chunk
 from lifthead.node import clients
-from lifthead.node.discovery import news_of
+from lifthead.node.discovery import parse_update
 from lifthead.node.host import Host
-from lifthead.node.serve import Bounds
-from lifthead.node.start import start_of
+from lifthead.node.serve import ClientLimits
+from lifthead.node.start import parse_config
 
 SETTINGS = {
     "Dcs": ["a", "b"],
@@ -50,8 +50,8 @@
     b'"prompt_tokens_details":{"cached_tokens":7}}}\n\ndata: [DONE]\n\n'
 )
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
-TURNED_AWAY = b"HTTP/1.1 503 no\r\nx-never-ran: 1\r\ncontent-length: 0\r\n\r\n"
-HAS_READ = b'HTTP/1.1 202 ok\r\ncontent-length: 20\r\n\r\n{"cached_tokens": 5}'
+REFUSED_NOT_RUN = b"HTTP/1.1 503 no\r\nx-never-ran: 1\r\ncontent-length: 0\r\n\r\n"
+PREFILLED = b'HTTP/1.1 202 ok\r\ncontent-length: 20\r\n\r\n{"cached_tokens": 5}'
 
 
 STREAM = HEAD + chunk(EVENT) + chunk(EVENT + END) + b"0\r\n\r\n"
@@ -73,8 +73,8 @@
     return {"uid": uid, "endpoint": endpoint, "az": "a", "model": kind, "state": state} | more
 
 
-def news(*targets, rev=1, whole=True):
-    return json.dumps({"rev": rev, "all": whole, "targets": list(targets)}).encode()
+def list_update(*targets, rev=1, is_snapshot=True):
+    return json.dumps({"rev": rev, "all": is_snapshot, "targets": list(targets)}).encode()
 
 
 class Engine:
@@ -82,26 +82,31 @@
     of seconds or an event to wait for, or what is called with the connection. Writes down what came."""
 
     def __init__(self, *scripts):
-        self.scripts, self.came, self.connections, self.left = list(scripts) or [[STREAM]], [], 0, 0
+        self.scripts, self.requests, self.connections, self.disconnects = (
+            list(scripts) or [[STREAM]],
+            [],
+            0,
+            0,
+        )
 
-    def of(self, method):
-        return [line for line, _ in self.came if line.startswith(method)]
+    def lines(self, method):
+        return [line for line, _ in self.requests if line.startswith(method)]
 
     async def connection(self, reader, writer):
         self.connections += 1
         try:
-            while await self._one(reader, writer):
+            while await self._answer_one(reader, writer):
                 pass
         except (OSError, asyncio.IncompleteReadError):
-            self.left += 1
+            self.disconnects += 1
         finally:
             writer.close()
 
-    async def _one(self, reader, writer):
+    async def _answer_one(self, reader, writer):
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         fields = dict(line.split(": ", 1) for line in head.split("\r\n")[1:] if line)
         body = await reader.readexactly(int(fields.get("content-length", 0)))
-        self.came.append((head.split("\r\n")[0], fields | {"body": body}))
+        self.requests.append((head.split("\r\n")[0], fields | {"body": body}))
         if head.startswith("DELETE"):
             writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
             return True
@@ -110,7 +115,7 @@
             if step == CLOSE:
                 return False
             if step == HANG:
-                self.left += await reader.read(1) == b""
+                self.disconnects += await reader.read(1) == b""
                 return False
             if isinstance(step, float):
                 await asyncio.sleep(step)
@@ -127,54 +132,76 @@
 class Node(Listening):
     """`engines`: an Engine by uid; those whose uid begins with rd read, the others write."""
 
-    def __init__(self, first_within=0.5, connections=50, sockets=1024, settings=SETTINGS, **engines):
-        self.engines, self.servers, self.lasting = engines, [], []
-        self.first_within, self.connections = first_within, connections
+    def __init__(
+        self, first_request_timeout=0.5, max_client_connections=50, sockets=1024, settings=SETTINGS, **engines
+    ):
+        self.engines, self.servers, self.background_tasks = engines, [], []
+        self.first_request_timeout, self.max_client_connections = (
+            first_request_timeout,
+            max_client_connections,
+        )
         self.sockets, self.settings = sockets, settings
 
     async def __aenter__(self):
-        self._group = await asyncio.TaskGroup().__aenter__()
-        self.listed = {uid: await self._listen(engine.connection) for uid, engine in self.engines.items()}
-        told = config(limits={"sockets": self.sockets}, settings=self.settings)
-        start = start_of(json.dumps(told).encode())
-        self.host = Host(replace(start, clients=self.connections), self._group)
-        self.tell(*(target(uid, at) for uid, at in self.listed.items()))
-        bounds = Bounds(self.connections, header_within=300_000, body_within=300_000)
-        self.door = Clients(bounds, self.host.answer, clients.error, self.first_within)
-        self.address = await self._listen(self.door.connection)
+        self._tasks = await asyncio.TaskGroup().__aenter__()
+        self.addresses = {uid: await self._listen(engine.connection) for uid, engine in self.engines.items()}
+        config_document = config(limits={"sockets": self.sockets}, settings=self.settings)
+        node_config = parse_config(json.dumps(config_document).encode())
+        self.host = Host(
+            replace(node_config, max_client_connections=self.max_client_connections), self._tasks
+        )
+        self.update_engines(*(target(uid, at) for uid, at in self.addresses.items()))
+        limits = ClientLimits(self.max_client_connections, header_within=300_000, body_within=300_000)
+        self.client_listener = Clients(
+            limits, self.host.answer, clients.error_body, self.first_request_timeout
+        )
+        self.address = await self._listen(self.client_listener.connection)
         return self
 
-    def tell(self, *targets, whole=True):
-        self.host.on_news(news_of(news(*targets, whole=whole)))
+    def update_engines(self, *targets, is_snapshot=True):
+        self.host.on_list_update(parse_update(list_update(*targets, is_snapshot=is_snapshot)))
 
     async def __aexit__(self, *_):
         for server in self.servers:
             server.close()
         self.host.close()
-        await self._group.__aexit__(None, None, None)
+        await self._tasks.__aexit__(None, None, None)
 
 
-def played(play, **how):
+def run_with_node(scenario, **options):
     """What `play` gives back, of a node of its own with these engines and bounds."""
 
     async def run():
-        async with Node(**how) as node:
-            return await asyncio.wait_for(play(node), 10)
+        async with Node(**options) as node:
+            return await asyncio.wait_for(scenario(node), 10)
 
     return asyncio.run(run())
 
 
-def chat(prompt=100, group="ask", trace="a1", waits="2000", body=None, path=clients.PATH, **headers):
+def chat(
+    prompt=100,
+    request_class="ask",
+    trace="a1",
+    budget_ms="2000",
+    body=None,
+    path=clients.CHAT_PATH,
+    **headers,
+):
     """A client's message. A header given as None is left out."""
     if body is None:
-        said = "x" * (4 * prompt)
+        content = "x" * (4 * prompt)
         body = json.dumps(
-            {"model": "m", "stream": True, "max_tokens": 9, "messages": [{"role": "user", "content": said}]}
+            {
+                "model": "m",
+                "stream": True,
+                "max_tokens": 9,
+                "messages": [{"role": "user", "content": content}],
+            }
         )
         body = body.encode()
     fields = {
-        "Host": "backend.local", "X-Trace-Id": trace, "X-Qos": group, "X-Object": "s1",
-        "X-Expires-In-Ms": waits, "X-Props": f"prompt_len={prompt},max_out=9",
+        "Host": "backend.local", "X-Trace-Id": trace, "X-Qos": request_class, "X-Object": "s1",
+        "X-Expires-In-Ms": budget_ms, "X-Props": f"prompt_len={prompt},max_out=9",
         "Content-Length": str(len(body)),
     }  # fmt: skip
     fields |= {name.replace("_", "-"): value for name, value in headers.items()}
@@ -225,7 +252,7 @@
         return True
 
 
-async def ask(address, data):
+async def exchange(address, data):
     async with Client(address) as client:
         await client.send(data)
         return await client.answer()
--- a/tests/program.py
+++ b/tests/program.py
@@ -9,9 +9,9 @@
 import subprocess
 import sys
 
-from onenode import Client, chunk, config, news, target
+from onenode import Client, chunk, config, list_update, target
 
-READY = b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n"
+READY_REQUEST = b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
 def free_address():
@@ -20,38 +20,38 @@
         return f"127.0.0.1:{free.getsockname()[1]}"
 
 
-def started(path, listen, discovery, most=1024, cores=(), **more):
+def start_process(path, listen, discovery, max_descriptors=1024, cores=(), **more):
     """A process of its own, with so many descriptors at most and on these cores only."""
-    told = config(listen=listen, discovery=discovery, limits={"sockets": most}, **more)
-    path.write_text(json.dumps(told))
+    config_document = config(listen=listen, discovery=discovery, limits={"sockets": max_descriptors}, **more)
+    path.write_text(json.dumps(config_document))
 
-    def bound():
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+    def limit_resources():
+        resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
         if cores:
             os.sched_setaffinity(0, cores)
 
     return subprocess.Popen(
         [sys.executable, "-B", "-m", "lifthead.node"],
-        env={**os.environ, "NODE_CONFIG": str(path)}, preexec_fn=bound, stderr=subprocess.DEVNULL,
+        env={**os.environ, "NODE_CONFIG": str(path)}, preexec_fn=limit_resources, stderr=subprocess.DEVNULL,
     )  # fmt: skip
 
 
-class Program:
+class NodeProcess:
     """The node as a process that is ready, these engines listed."""
 
     def __init__(self, path, **engines):
         self._path, self.engines = path, engines
-        self.discovery, self.servers, self.listed = Discovery(), [], {}
+        self.discovery, self.servers, self.addresses = DiscoveryServer(), [], {}
 
     async def __aenter__(self):
         for uid, engine in self.engines.items():
             server = await asyncio.start_server(engine.connection, "127.0.0.1", 0)
             self.servers.append(server)
-            self.listed[uid] = "{}:{}".format(*server.sockets[0].getsockname())
-        await self.discovery.up(*(target(uid, at) for uid, at in self.listed.items()))
+            self.addresses[uid] = "{}:{}".format(*server.sockets[0].getsockname())
+        await self.discovery.up(*(target(uid, at) for uid, at in self.addresses.items()))
         self.listen = free_address()
-        self.process = started(self._path / "config.json", self.listen, self.discovery.address)
-        await ready(self.listen, 10.0)
+        self.process = start_process(self._path / "config.json", self.listen, self.discovery.address)
+        await wait_until_ready(self.listen, 10.0)
         return self
 
     async def __aexit__(self, *_):
@@ -72,7 +72,7 @@
 
 
 @contextlib.contextmanager
-def ending(*processes):
+def killed_at_end(*processes):
     try:
         yield
     finally:
@@ -81,7 +81,7 @@
             process.wait()
 
 
-async def ready(listen, within):
+async def wait_until_ready(listen, within):
     """Seconds until it says that it is."""
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -89,13 +89,13 @@
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 async with Client(listen) as client:
-                    await client.send(READY)
+                    await client.send(READY_REQUEST)
                     if (await client.answer())[0] == 200:
                         return loop.time() - began
             await asyncio.sleep(0.05)
 
 
-class Discovery:
+class DiscoveryServer:
     """One list for all; `down` resets what is open and refuses what comes."""
 
     def __init__(self):
@@ -117,7 +117,7 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
-            writer.write(chunk(news(*self.targets, rev=self.rev) + b"\n"))
+            writer.write(chunk(list_update(*self.targets, rev=self.rev) + b"\n"))
             while not reader.at_eof() and not writer.transport.is_closing():
                 writer.write(chunk(b"\n"))
                 with contextlib.suppress(TimeoutError):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -7,14 +7,33 @@
 from pathlib import Path
 
 import pytest
-from onenode import END, EVENT, HEAD, STREAM, Client, Engine, chat, chunk, config, played, target
-from program import READY, Discovery, ending, free_address, ready, started
+from onenode import (
+    END,
+    EVENT,
+    HEAD,
+    STREAM,
+    Client,
+    Engine,
+    chat,
+    chunk,
+    config,
+    run_with_node,
+    target,
+)
+from program import (
+    READY_REQUEST,
+    DiscoveryServer,
+    free_address,
+    killed_at_end,
+    start_process,
+    wait_until_ready,
+)
 
 from lifthead.node import start
 
-MOST = 100
-CLIENTS = 160
-TOLD_BY = 6.0
+MAX_DESCRIPTORS = 100
+IDLE_CLIENTS = 160
+UPDATE_DEADLINE = 6.0
 
 
 def processor_seconds(process):
@@ -22,101 +41,104 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def rests(listen):
+async def hold_idle_connection(listen):
     """Connects, asks once, and keeps the connection until the other end closes it; then again."""
     while True:
         with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError, IndexError):
             async with Client(listen) as client:
-                await client.send(READY)
+                await client.send(READY_REQUEST)
                 await client.answer(60.0)
                 await client.reader.read()
         await asyncio.sleep(0.01)
 
 
 def test_idle_clients_use_up_what_they_can_while_discovery_is_down(tmp_path):
-    async def play():
+    async def scenario():
         long = [HEAD + chunk(EVENT), *[0.25, chunk(EVENT)] * 24, chunk(END) + b"0\r\n\r\n"]
-        old, new, discovery, listen = Engine(long), Engine([STREAM]), Discovery(), free_address()
+        old, new, discovery, listen = Engine(long), Engine([STREAM]), DiscoveryServer(), free_address()
         servers = [await asyncio.start_server(engine.connection, "127.0.0.1", 0) for engine in (old, new)]
         at = ["{}:{}".format(*server.sockets[0].getsockname()) for server in servers]
         await discovery.up(target("wr", at[0]))
-        process = started(tmp_path / "config.json", listen, discovery.address, MOST)
-        with ending(process):
-            await ready(listen, 10.0)
+        process = start_process(tmp_path / "config.json", listen, discovery.address, MAX_DESCRIPTORS)
+        with killed_at_end(process):
+            await wait_until_ready(listen, 10.0)
             async with asyncio.TaskGroup() as tasks:
                 in_flight = []
                 for n in range(5):
                     client = await Client(listen).__aenter__()
-                    await client.send(chat(100, trace=f"t{n}", waits="9000"))
+                    await client.send(chat(100, trace=f"t{n}", budget_ms="9000"))
                     in_flight.append(tasks.create_task(client.answer(20.0)))
                 await asyncio.sleep(0.3)
                 discovery.down()
-                idle = [tasks.create_task(rests(listen)) for _ in range(CLIENTS)]
+                idle = [tasks.create_task(hold_idle_connection(listen)) for _ in range(IDLE_CLIENTS)]
                 await asyncio.sleep(2.0)
                 before = processor_seconds(process)
                 await asyncio.sleep(2.0)
                 used = (processor_seconds(process) - before) / 2.0
-                held = len(os.listdir(f"/proc/{process.pid}/fd"))
+                open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
                 await discovery.up(target("wr", at[0], "draining"), target("wr2", at[1]))
-                began, tries = asyncio.get_running_loop().time(), 0
-                while not new.came:
+                began, requests_sent = asyncio.get_running_loop().time(), 0
+                while not new.requests:
                     with contextlib.suppress(OSError, TimeoutError, IndexError, asyncio.IncompleteReadError):
                         async with Client(listen) as client:
-                            tries += 1
-                            await client.send(chat(100, trace=f"n{tries}"))
+                            requests_sent += 1
+                            await client.send(chat(100, trace=f"n{requests_sent}"))
                             await client.answer(1.5)
                     await asyncio.sleep(0.02)
-                    assert asyncio.get_running_loop().time() - began < TOLD_BY
+                    assert asyncio.get_running_loop().time() - began < UPDATE_DEADLINE
                 answers = await asyncio.gather(*in_flight)
                 for task in idle:
                     task.cancel()
             alive = process.poll() is None
         for server in servers:
             server.close()
-        return [(status, whole) for status, _, _, whole in answers], used, held, alive
+        return [(status, whole) for status, _, _, whole in answers], used, open_descriptors, alive
 
-    answers, used, held, alive = asyncio.run(play())
+    answers, used, open_descriptors, alive = asyncio.run(scenario())
     assert answers == [(200, True)] * 5  # none of them was shed
-    assert alive and used < 0.5 and held <= MOST
+    assert alive and used < 0.5 and open_descriptors <= MAX_DESCRIPTORS
 
 
 @pytest.mark.parametrize("sockets", [64, 256, 1024])
 def test_an_open_request_always_finds_a_descriptor_for_its_engine(sockets):
     """Idle clients and open requests together can't take what the attempts of all of them may need."""
-    told = start.start_of(json.dumps(config(limits={"sockets": sockets})).encode())
-    assert 2 * told.clients + start.OWN < sockets and told.engines > told.clients
+    node_config = start.parse_config(json.dumps(config(limits={"sockets": sockets})).encode())
+    assert (
+        2 * node_config.max_client_connections + start.RESERVED_DESCRIPTORS < sockets
+        and node_config.max_engine_connections > node_config.max_client_connections
+    )
 
 
 def test_what_gives_way_has_no_unread_bytes_and_no_answer_on_its_way():
     """A connection that only seems idle: its bytes wait in the system, where the loop has not looked yet."""
 
-    async def play(node):
-        async with Client(node.address) as busy, Client(node.address) as idle:
-            for client in (busy, idle):
-                await client.send(READY)
+    async def scenario(node):
+        async with Client(node.address) as unread, Client(node.address) as idle:
+            for client in (unread, idle):
+                await client.send(READY_REQUEST)
                 await client.answer()
             await asyncio.sleep(0.15)
-            os.write(busy.writer.get_extra_info("socket").fileno(), chat(100))
-            first, second = node.door.make_room(), node.door.make_room()
-            return first, second, await idle.closed(0.5), (await busy.answer())[0]
+            os.write(unread.writer.get_extra_info("socket").fileno(), chat(100))
+            first, second = node.client_listener.make_room(), node.client_listener.make_room()
+            return first, second, await idle.closed(0.5), (await unread.answer())[0]
 
-    assert played(play, wr=Engine()) == (True, False, True, 200)
+    assert run_with_node(scenario, wr=Engine()) == (True, False, True, 200)
 
 
 def test_what_had_come_on_a_resting_connection_by_the_stop_is_answered_and_nothing_is_read_later():
     """The reading of a resting connection ended with its bytes in hand, and they were never answered."""
 
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as early, Client(node.address) as late:
             for client in (early, late):
-                await client.send(READY)
+                await client.send(READY_REQUEST)
                 await client.answer()
             await asyncio.sleep(0.05)
             os.write(early.writer.get_extra_info("socket").fileno(), chat(100))
-            node.door.stop()
+            node.client_listener.stop()
             await asyncio.sleep(0.2)
             closed = await late.closed(0.5)
-            return (await early.answer())[:1], closed, len(wr.came)
+            return (await early.answer())[:1], closed, len(wr.requests)
 
     wr = Engine()
-    assert played(play, wr=wr) == ((200,), True, 1)
+    assert run_with_node(scenario, wr=wr) == ((200,), True, 1)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,15 +9,15 @@
 from collections import Counter
 
 import pytest
-from onenode import chunk, news, target
+from onenode import chunk, list_update, target
 
 from lifthead.node import discovery
-from lifthead.node.discovery import Follower
+from lifthead.node.discovery import Watch
 
-TOLD_BY = 6.0  # seconds, as the platform's operators say
-BOUND = 4.2  # ... and what is asserted: a margin of nearly a third
-HEAD = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
-OLD, NEW = (news(target("rd", "127.0.0.1:1"), rev=rev) + b"\n" for rev in (43, 44))
+UPDATE_DEADLINE = 6.0  # seconds, as the platform's operators say
+RECOVERY_BOUND = 4.2  # ... and what is asserted: a margin of nearly a third
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
+OLD, NEW = (list_update(target("rd", "127.0.0.1:1"), rev=rev) + b"\n" for rev in (43, 44))
 
 
 async def silent(writer):
@@ -25,43 +25,43 @@
 
 
 async def head_without_body(writer):
-    writer.write(HEAD)
+    writer.write(STREAM_HEAD)
     await asyncio.sleep(60)
 
 
 async def half_a_head(writer):
-    writer.write(HEAD[:20])
+    writer.write(STREAM_HEAD[:20])
     await asyncio.sleep(60)
 
 
 async def half_a_line(writer):
-    writer.write(HEAD + chunk(NEW[:30]))
+    writer.write(STREAM_HEAD + chunk(NEW[:30]))
     await asyncio.sleep(60)
 
 
 async def a_line_without_end(writer):
-    writer.write(HEAD)
+    writer.write(STREAM_HEAD)
     for byte in NEW * 100:
         writer.write(chunk(bytes([byte]) if byte != 10 else b" "))
         await asyncio.sleep(0.05)
 
 
 async def an_object_without_end(writer):
-    writer.write(HEAD + chunk(b'{"rev": 44, "all": true, "targets": [\n'))
+    writer.write(STREAM_HEAD + chunk(b'{"rev": 44, "all": true, "targets": [\n'))
     while True:
         writer.write(chunk(b"  {\n"))
         await asyncio.sleep(0.05)
 
 
 async def a_head_without_end(writer):
-    writer.write(HEAD[:-2])
+    writer.write(STREAM_HEAD[:-2])
     while True:
         writer.write(b"x: y\r\n")
         await asyncio.sleep(0.1)
 
 
 async def a_watch_that_falls_silent(writer):
-    writer.write(HEAD + chunk(OLD) + chunk(b"\n"))
+    writer.write(STREAM_HEAD + chunk(OLD) + chunk(b"\n"))
     await asyncio.sleep(60)
 
 
@@ -72,13 +72,13 @@
 
 
 async def a_watch_that_is_reset(writer):
-    writer.write(HEAD + chunk(OLD))
+    writer.write(STREAM_HEAD + chunk(OLD))
     await asyncio.sleep(0.1)
     await reset(writer)
 
 
 async def closed(writer):
-    writer.write(HEAD + chunk(b"\n") + b"0\r\n\r\n")
+    writer.write(STREAM_HEAD + chunk(b"\n") + b"0\r\n\r\n")
 
 
 async def another_status(writer):
@@ -95,17 +95,17 @@
 
 
 async def a_list_that_cannot_be_read(writer):
-    writer.write(HEAD + chunk(b'{"rev": "x", "all": true, "targets": []}\n'))
+    writer.write(STREAM_HEAD + chunk(b'{"rev": "x", "all": true, "targets": []}\n'))
     await asyncio.sleep(60)
 
 
 async def a_list_without_targets(writer):
-    writer.write(HEAD + chunk(b"\n") + chunk(b'{"rev": 44}\n'))
+    writer.write(STREAM_HEAD + chunk(b"\n") + chunk(b'{"rev": 44}\n'))
     await asyncio.sleep(60)
 
 
 REFUSED = "refused"
-STATES = {
+CALL_STATES = {
     REFUSED: REFUSED,
     **{
         state.__name__: state
@@ -117,68 +117,71 @@
         )
     },
 }  # fmt: skip
-SHORT = {"refused", "reset", "closed", "another_status", "no_http", "a_list_that_cannot_be_read",
+SHORT_CALLS = {"refused", "reset", "closed", "another_status", "no_http", "a_list_that_cannot_be_read",
          "a_list_without_targets", "a_watch_that_is_reset"}  # fmt: skip
 
 
-async def way_back(state):
+async def recovery_time(state):
     """Seconds from discovery's return, a moment after a last bad call has begun, to its list in hand."""
-    loop, bad, calls, heard = asyncio.get_running_loop(), True, 0, asyncio.Event()
-    well_at = 0.0
+    loop, is_bad, calls, received = asyncio.get_running_loop(), True, 0, asyncio.Event()
+    recovers_at = 0.0
 
     async def serve(reader, writer):
-        nonlocal bad, calls, well_at
-        was_bad, calls = bad, calls + 1
-        if was_bad and calls >= most:
-            bad, well_at = False, loop.time() + 0.02
+        nonlocal is_bad, calls, recovers_at
+        call_is_bad, calls = is_bad, calls + 1
+        if call_is_bad and calls >= count:
+            is_bad, recovers_at = False, loop.time() + 0.02
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
-            if was_bad:
-                await STATES[state](writer)
+            if call_is_bad:
+                await CALL_STATES[state](writer)
             else:
-                await asyncio.sleep(max(well_at - loop.time(), 0))
-                writer.write(HEAD + chunk(NEW))
+                await asyncio.sleep(max(recovers_at - loop.time(), 0))
+                writer.write(STREAM_HEAD + chunk(NEW))
                 await reader.read()
         writer.close()
 
-    most = 8 if state in SHORT else 1  # so that pauses have grown as long as they get
+    count = 8 if state in SHORT_CALLS else 1  # so that pauses have grown as long as they get
     listening = socket.socket()
     listening.bind(("127.0.0.1", 0))
-    follower = Follower(
-        listening.getsockname(), 41, lambda told: told.version == 44 and heard.set(), seed=len(state)
+    watch = Watch(
+        listening.getsockname(), 41, lambda update: update.version == 44 and received.set(), seed=len(state)
     )
     async with asyncio.timeout(30):
-        task = asyncio.create_task(follower.follow())
+        task = asyncio.create_task(watch.run())
         if state == REFUSED:
             await asyncio.sleep(2.5)
-            bad, well_at = False, loop.time()
+            is_bad, recovers_at = False, loop.time()
         server = await asyncio.start_server(serve, sock=listening)
-        await heard.wait()
-    took = loop.time() - well_at
+        await received.wait()
+    took = loop.time() - recovers_at
     task.cancel()
     server.close()
     return took
 
 
 @pytest.fixture(scope="module")
-def ways_back():
-    async def play():
-        return dict(zip(STATES, await asyncio.gather(*map(way_back, STATES)), strict=True))
+def recovery_times():
+    async def scenario():
+        return dict(zip(CALL_STATES, await asyncio.gather(*map(recovery_time, CALL_STATES)), strict=True))
 
-    return asyncio.run(play())
+    return asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("state", STATES)
-def test_the_way_back_to_a_current_list_is_bounded_from_any_state(ways_back, state):
-    assert 0 <= ways_back[state] < BOUND < TOLD_BY
+@pytest.mark.parametrize("state", CALL_STATES)
+def test_the_way_back_to_a_current_list_is_bounded_from_any_state(recovery_times, state):
+    assert 0 <= recovery_times[state] < RECOVERY_BOUND < UPDATE_DEADLINE
 
 
 def test_the_longest_way_back_follows_from_the_figures():
     """What a stuck call may take, then the longest pause, then a connection: whatever is changed in them."""
-    assert discovery.SILENT_FOR + max(discovery.AGAIN_WITHIN) + discovery.CONNECT_WITHIN < BOUND
+    assert (
+        discovery.SILENCE_TIMEOUT + max(discovery.MAX_RETRY_PAUSES) + discovery.CONNECT_TIMEOUT
+        < RECOVERY_BOUND
+    )
 
 
-class Jumping(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """A loop on a clock of its own, which jumps to the next timer where nothing else is to be done."""
 
     def __init__(self):
@@ -195,57 +198,57 @@
         return self.at
 
 
-def follow_all(monkeypatch, watch, most, seconds, shared=False):
+def run_watches(monkeypatch, watch_once, count, seconds, shared=False):
     """So many followers on one jumping clock for so long, `watch` standing in for their calls."""
 
-    async def play():
-        followers = [Follower(("127.0.0.1", 1), 0, lambda told: None, seed, shared) for seed in range(most)]
-        tasks = [asyncio.create_task(follower.follow()) for follower in followers]
+    async def scenario():
+        watches = [Watch(("127.0.0.1", 1), 0, lambda update: None, seed, shared) for seed in range(count)]
+        tasks = [asyncio.create_task(watch.run()) for watch in watches]
         await asyncio.sleep(seconds)
         for task in tasks:
             task.cancel()
 
-    monkeypatch.setattr(Follower, "_watch", watch)
-    with asyncio.Runner(loop_factory=Jumping) as runner:
-        runner.run(play())
+    monkeypatch.setattr(Watch, "_watch_once", watch_once)
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
+        runner.run(scenario())
 
 
 def test_processes_that_lost_discovery_in_one_instant_do_not_ask_in_one_for_ever(monkeypatch):
     """Without chance in the pauses, all of a fleet's calls fall into the same instants from then on."""
-    calls, most = [], 200
+    calls, count = [], 200
 
     async def refused(self, address):
         calls.append(asyncio.get_running_loop().time())
         raise ConnectionRefusedError
 
-    follow_all(monkeypatch, refused, most, 5.0)
+    run_watches(monkeypatch, refused, count, 5.0)
     late = Counter(int(at * 50) for at in calls if at >= 2.0)
-    assert max(late.values()) < most / 5 and len(late) == 150  # of 20 ms each: none is empty, none is full
-    assert len([at for at in calls if at >= 4.0]) < most * 10  # and it is no flood
+    assert max(late.values()) < count / 5 and len(late) == 150  # of 20 ms each: none is empty, none is full
+    assert len([at for at in calls if at >= 4.0]) < count * 10  # and it is no flood
 
 
-@pytest.mark.parametrize("most", [24, 200])
-def test_a_shared_discovery_that_turns_calls_away_is_left_to_answer(most, monkeypatch):
+@pytest.mark.parametrize("count", [24, 200])
+def test_a_shared_discovery_that_turns_calls_away_is_left_to_answer(count, monkeypatch):
     """A call that is turned away costs it as much as another. It takes one from each process in 4.5 s, and
     while it is behind by 2 s it turns away: calls that come again at once kept most out for a whole day."""
-    answered, behind, takes = {}, [0.0, 0.0], 4.5 / most
+    answered, backlog, cost = {}, [0.0, 0.0], 4.5 / count
 
     async def watched(self, address):
         at = asyncio.get_running_loop().time()
-        behind[:] = [max(behind[0] - (at - behind[1]), 0.0) + takes, at]
-        if behind[0] > 2.0:
-            raise discovery.TurnedAwayError("status 503")
+        backlog[:] = [max(backlog[0] - (at - backlog[1]), 0.0) + cost, at]
+        if backlog[0] > 2.0:
+            raise discovery.WatchRefusedError("status 503")
         answered[self] = at
         await asyncio.sleep(1000)
 
-    follow_all(monkeypatch, watched, most, 40.0, shared=True)
-    assert len(answered) == most and discovery.TURNED_AWAY_FOR[1] < TOLD_BY - discovery.CONNECT_WITHIN
+    run_watches(monkeypatch, watched, count, 40.0, shared=True)
+    assert len(answered) == count and discovery.REFUSED_PAUSE[1] < UPDATE_DEADLINE - discovery.CONNECT_TIMEOUT
 
 
 def test_an_odd_entry_costs_only_itself_whatever_its_address():
     """A port past the last one broke off the task that connects, and with it the process."""
-    odd = ["1.2.3.4:70000", "x" * 70 + ":1", "a b:1", "[::1]:5", ":4"]
-    targets = [target(f"e{n}", at) for n, at in enumerate(odd)] + [target("wr", "a:1")]
-    told = discovery.news_of(json.dumps({"rev": 1, "all": True, "targets": targets}).encode())
-    found = [(entry.readiness, address) for entry, address in told.entries]
-    assert found == [("draining", "")] * len(odd) + [("ready", "a:1")]
+    addresses = ["1.2.3.4:70000", "x" * 70 + ":1", "a b:1", "[::1]:5", ":4"]
+    targets = [target(f"e{n}", at) for n, at in enumerate(addresses)] + [target("wr", "a:1")]
+    update = discovery.parse_update(json.dumps({"rev": 1, "all": True, "targets": targets}).encode())
+    found = [(entry.readiness, address) for entry, address in update.entries]
+    assert found == [("draining", "")] * len(addresses) + [("ready", "a:1")]
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from onenode import CLOSE, HAS_READ, STREAM, Client, Engine, ask, chat, played
+from onenode import CLOSE, PREFILLED, STREAM, Client, Engine, chat, exchange, run_with_node
 
 from lifthead.events import Event, EventLog
 
@@ -13,10 +13,10 @@
 
 def test_the_ring_tells_a_requests_path_in_order():
     async def play(node):
-        status = (await ask(node.address, chat(5000)))[0]
+        status = (await exchange(node.address, chat(5000)))[0]
         return status, names(node, "a1")
 
-    status, events = played(play, rd=Engine([HAS_READ]), wr=Engine([STREAM]))
+    status, events = run_with_node(play, rd=Engine([PREFILLED]), wr=Engine([STREAM]))
     attempt = [Event.CONNECTING, Event.WRITING, Event.WRITTEN, Event.CONFIRMED]
     assert status == 200
     assert events == [
@@ -31,12 +31,12 @@
 
     async def play(node):
         async with Client(node.address) as client:
-            await client.send(chat(5000, group="pay"))
+            await client.send(chat(5000, request_class="pay"))
             status = (await client.answer())[0]
         await node.until(lambda: not node.host.pending_requests)
         return status
 
-    assert played(play, rd=Engine([HAS_READ]), wr=Engine([CLOSE])) == 504
+    assert run_with_node(play, rd=Engine([PREFILLED]), wr=Engine([CLOSE])) == 504
     lines = [record.getMessage() for record in caplog.records]
     closed = next(line for line in lines if line.startswith("connection_closed"))
     assert "request=a1 attempt=1 engine=wr reason=cut work=fetch age_ms=" in closed and "uses=0" in closed
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,7 +7,17 @@
 import time
 
 import pytest
-from onenode import HANG, HAS_READ, SETTINGS, STREAM, Client, Engine, ask, chat, played
+from onenode import (
+    HANG,
+    PREFILLED,
+    SETTINGS,
+    STREAM,
+    Client,
+    Engine,
+    chat,
+    exchange,
+    run_with_node,
+)
 
 from lifthead.guard import Rule
 
@@ -30,20 +40,20 @@
         super().__init__(*scripts)
         self.answer, self.released_at = answer, []
 
-    async def _one(self, reader, writer):
-        came = len(self.came)
+    async def _answer_one(self, reader, writer):
+        came = len(self.requests)
         if await self._is_release(reader):
             self.released_at.append(asyncio.get_running_loop().time())
             await reader.readuntil(b"\r\n\r\n")
-            self.came.append(("DELETE", {}))
+            self.requests.append(("DELETE", {}))
             if self.answer is None:
                 await reader.read(1)
                 return False
             writer.write(self.answer)
             return True
-        goes_on = await super()._one(reader, writer)
+        goes_on = await super()._answer_one(reader, writer)
         self.read_at = asyncio.get_running_loop().time()
-        assert len(self.came) > came
+        assert len(self.requests) > came
         return goes_on
 
     async def _is_release(self, reader):
@@ -65,7 +75,7 @@
         loop = asyncio.get_running_loop()
         async with Client(node.address) as client:
             sent_at = loop.time()
-            await client.send(chat(5000, group=group, waits="1000"))
+            await client.send(chat(5000, request_class=group, budget_ms="1000"))
             await node.until(lambda: rd.released_at)
             took = rd.released_at[0] - rd.read_at
             status = (await client.answer())[0]
@@ -74,11 +84,11 @@
         assert loop.time() - rd.read_at < 1.5
         return took, status, in_time, violations(node)
 
-    rd, wr = Releases([HAS_READ]), Engine([HANG])
-    took, status, in_time, broken = played(play, rd=rd, wr=wr)
+    rd, wr = Releases([PREFILLED]), Engine([HANG])
+    took, status, in_time, broken = run_with_node(play, rd=rd, wr=wr)
     assert LEASE * 0.5 < took < LEASE + SLACK
     assert status == 504 or (status == 503 and group == "ask" and not in_time)
-    assert (broken, len(wr.of("POST"))) == (0, 1)  # nothing runs twice
+    assert (broken, len(wr.lines("POST"))) == (0, 1)  # nothing runs twice
 
 
 def test_a_silent_call_is_given_up_for_another_engine_before_the_lease_ends():
@@ -87,12 +97,12 @@
             await client.send(chat(5000))
             return (await client.answer(1.0))[0], violations(node)
 
-    rd, one, two = Releases([HAS_READ]), Engine([HANG]), Engine([HANG])
+    rd, one, two = Releases([PREFILLED]), Engine([HANG]), Engine([HANG])
     # whichever is drawn first hangs; the other has a stream
     scripts = [[HANG], [STREAM]]
     one.scripts, two.scripts = scripts, scripts
-    assert played(play, rd=rd, wr1=one, wr2=two) == (200, 0)
-    assert len(rd.of("POST")) == 1 and len(one.of("POST") + two.of("POST")) == 2
+    assert run_with_node(play, rd=rd, wr1=one, wr2=two) == (200, 0)
+    assert len(rd.lines("POST")) == 1 and len(one.lines("POST") + two.lines("POST")) == 2
 
 
 @pytest.mark.parametrize(
@@ -107,15 +117,15 @@
 def test_a_release_that_its_holder_does_not_take_goes_on_to_others_in_time(answer, caplog):
     async def play(node):
         async with Client(node.address) as client:
-            await client.send(chat(5000, group="pay", waits="800"))
+            await client.send(chat(5000, request_class="pay", budget_ms="800"))
             await node.until(lambda: one.released_at)
             took = one.released_at[0] - rd.read_at
             status = (await client.answer())[0]
         await asyncio.sleep(0.1)
         return took, status, violations(node)
 
-    rd, one = Releases([HAS_READ], answer=answer), Releases([HANG])
-    took, status, broken = played(play, rd=rd, wr=one)
+    rd, one = Releases([PREFILLED], answer=answer), Releases([HANG])
+    took, status, broken = run_with_node(play, rd=rd, wr=one)
     assert took < LEASE + SLACK and (status, broken) == (504, 0)
     said = [record for record in caplog.records if "a release was answered" in record.getMessage()]
     assert len(said) <= 1
@@ -126,24 +136,26 @@
 
     async def play(node):
         async with Client(node.address) as client:
-            await client.send(chat(5000, group="pay", waits="500"))
+            await client.send(chat(5000, request_class="pay", budget_ms="500"))
             assert (await client.answer())[0] == 504
         await asyncio.sleep(0.1)
-        return await ask(node.address, chat(5000, trace="a2", group="pay", waits="500"))
+        return await exchange(node.address, chat(5000, trace="a2", request_class="pay", budget_ms="500"))
 
-    rd, wr = Releases([HAS_READ], answer=twice), Engine([HANG])
-    assert played(play, rd=rd, wr=wr)[0] == 504  # not the stream that stood behind the release's answer
+    rd, wr = Releases([PREFILLED], answer=twice), Engine([HANG])
+    assert (
+        run_with_node(play, rd=rd, wr=wr)[0] == 504
+    )  # not the stream that stood behind the release's answer
 
 
 @pytest.mark.parametrize("answer", [GONE, NO_MARK])
 def test_a_state_that_is_gone_gives_a_final_answer_and_holds_nothing(answer):
     async def play(node):
-        status = (await ask(node.address, chat(5000)))[0]
+        status = (await exchange(node.address, chat(5000)))[0]
         await node.until(lambda: not node.host.pending_requests)
         return status, violations(node)
 
-    rd, wr = Releases([HAS_READ]), Engine([answer], [STREAM])
-    status, broken = played(play, rd=rd, wr=wr)
+    rd, wr = Releases([PREFILLED]), Engine([answer], [STREAM])
+    status, broken = run_with_node(play, rd=rd, wr=wr)
     assert broken == 0 and status in (200, 503)
     # 410 does not prove that nothing is held: its holder may be cut off from that engine alone.
     assert answer is NO_MARK or len(rd.released_at) == 1
@@ -156,7 +168,7 @@
         async def connection(self, reader, writer):
             first = not self.connections
             self.connections += 1
-            await self._one(reader, writer)
+            await self._answer_one(reader, writer)
             if first:
                 await reader.read(-1)
             else:
@@ -164,29 +176,29 @@
 
     async def play(node):
         loop = asyncio.get_running_loop()
-        statuses = [(await ask(node.address, chat(5000, trace="t0")))[0]]
+        statuses = [(await exchange(node.address, chat(5000, trace="t0")))[0]]
         await asyncio.sleep(0.1)
         began = loop.time()
-        statuses.append((await ask(node.address, chat(5000, trace="t1")))[0])
+        statuses.append((await exchange(node.address, chat(5000, trace="t1")))[0])
         return statuses, loop.time() - began
 
-    rd = Silent([HAS_READ])
-    statuses, took = played(play, rd=rd, wr=Engine())
+    rd = Silent([PREFILLED])
+    statuses, took = run_with_node(play, rd=rd, wr=Engine())
     assert statuses == [200, 200] and took < 0.4
-    assert len(rd.of("POST")) == 2
+    assert len(rd.lines("POST")) == 2
 
 
 def test_a_keyed_call_that_is_given_up_is_repeated_in_its_own_group_alone():
     async def play(node):
         async with Client(node.address) as client:
-            await client.send(chat(5000, waits="1500"))
+            await client.send(chat(5000, budget_ms="1500"))
             status = (await client.answer())[0]
         return status, node.host.violations.counts[Rule.SINGLE_EFFECT]
 
     keyed = classes(Effect="keyed", Group="zone", KeyTtl=60_000)  # the window is over before a call is
-    rd, one, two = Releases([HAS_READ]), Engine([HANG]), Engine([HANG])
-    status, broken = played(play, rd=rd, wr1=one, wr2=two, settings=keyed)
-    assert len(one.of("POST") + two.of("POST")) == 1 and broken == 0 and status != 200
+    rd, one, two = Releases([PREFILLED]), Engine([HANG]), Engine([HANG])
+    status, broken = run_with_node(play, rd=rd, wr1=one, wr2=two, settings=keyed)
+    assert len(one.lines("POST") + two.lines("POST")) == 1 and broken == 0 and status != 200
 
 
 @pytest.mark.parametrize("prompt", [100, 5000])
@@ -199,13 +211,13 @@
             raise ZeroDivisionError("planted")
 
         node.host.router.on_ended = faulty
-        first = (await ask(node.address, chat(prompt, trace="a1")))[0]
-        second = (await ask(node.address, chat(prompt, trace="a2")))[0]
+        first = (await exchange(node.address, chat(prompt, trace="a1")))[0]
+        second = (await exchange(node.address, chat(prompt, trace="a2")))[0]
         await node.until(lambda: not node.host.pending_requests and not node.host.router.requests)
         return first, second, violations(node)
 
-    rd, wr = Releases([HAS_READ]), Engine([STREAM])
-    first, second, broken = played(play, rd=rd, wr=wr)
+    rd, wr = Releases([PREFILLED]), Engine([STREAM])
+    first, second, broken = run_with_node(play, rd=rd, wr=wr)
     # the short one was answered whole before the fault; the long one's prefill had ended, and its state goes
     assert (first, second, broken) == (200 if prompt == 100 else 504, 200, 0)
     assert len(rd.released_at) == (prompt == 5000)
@@ -236,7 +248,7 @@
             tasks.create_task(answer_read())
         return order
 
-    assert played(play, rd=Releases([HAS_READ]), wr=Engine([HANG])) == ["read", "judged"]
+    assert run_with_node(play, rd=Releases([PREFILLED]), wr=Engine([HANG])) == ["read", "judged"]
 
 
 def test_a_fault_of_ours_in_a_release_or_a_timer_does_not_end_the_router(monkeypatch):
@@ -244,13 +256,15 @@
         raise ZeroDivisionError("planted")
 
     async def play(node):
-        monkeypatch.setattr(node.host, "_last_heard", faulty)
+        monkeypatch.setattr(node.host, "_recently_heard", faulty)
         node.host.wake(0, -5)
         monkeypatch.setattr(node.host.router, "_look_round", faulty)
-        answers = [(await ask(node.address, chat(5000, trace="a1", group="pay", waits="600")))[0]]
+        answers = [
+            (await exchange(node.address, chat(5000, trace="a1", request_class="pay", budget_ms="600")))[0]
+        ]
         await asyncio.sleep(0.3)
-        answers.append((await ask(node.address, chat(100, trace="a2")))[0])
+        answers.append((await exchange(node.address, chat(100, trace="a2")))[0])
         return answers
 
-    rd, wr = Releases([HAS_READ], answer=None), Engine([HANG], [STREAM])
-    assert played(play, rd=rd, wr=wr) == [504, 200]
+    rd, wr = Releases([PREFILLED], answer=None), Engine([HANG], [STREAM])
+    assert run_with_node(play, rd=rd, wr=wr) == [504, 200]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from onenode import HANG, HAS_READ, STREAM, TURNED_AWAY, Client, Engine, chat, played
+from onenode import HANG, PREFILLED, REFUSED_NOT_RUN, STREAM, Client, Engine, chat, run_with_node
 
 from lifthead.engines.link import Link
 
@@ -24,59 +24,59 @@
 
 
 LEAVES = pytest.mark.parametrize("leave", [close, end_sending, reset])
-SLOW = 0.25  # seconds that something takes while the client goes
+DELAY = 0.25  # seconds that something takes while the client goes
 
 
 @LEAVES
 def test_a_first_attempt_that_waits_for_its_connection_is_not_begun(leave, monkeypatch):
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(100))
             await asyncio.sleep(0.05)
             leave(client)
             await node.until(lambda: not node.host.pending_requests)
-            await asyncio.sleep(2 * SLOW)
+            await asyncio.sleep(2 * DELAY)
 
     take = Link.take
 
     async def slow(self, fresh):
-        await asyncio.sleep(SLOW)
+        await asyncio.sleep(DELAY)
         return await take(self, fresh)
 
     monkeypatch.setattr(Link, "take", slow)
     wr = Engine()
-    played(play, wr=wr)
-    assert not wr.came
+    run_with_node(scenario, wr=wr)
+    assert not wr.requests
 
 
 @LEAVES
 def test_a_decode_after_a_prefill_is_not_begun(leave):
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(5000))
-            await node.until(lambda: rd.of("POST"))
+            await node.until(lambda: rd.lines("POST"))
             leave(client)
-            await node.until(lambda: rd.of("DELETE") and not node.host.pending_requests)
-            await asyncio.sleep(2 * SLOW)
+            await node.until(lambda: rd.lines("DELETE") and not node.host.pending_requests)
+            await asyncio.sleep(2 * DELAY)
 
-    rd, wr = Engine([SLOW, HAS_READ]), Engine()
-    played(play, rd=rd, wr=wr)
-    assert not wr.of("POST")
+    rd, wr = Engine([DELAY, PREFILLED]), Engine()
+    run_with_node(scenario, rd=rd, wr=wr)
+    assert not wr.lines("POST")
 
 
 @LEAVES
 def test_a_further_attempt_is_not_begun(leave):
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(100))
-            await node.until(lambda: one.came or two.came)
+            await node.until(lambda: one.requests or two.requests)
             leave(client)
             await node.until(lambda: not node.host.pending_requests)
-            await asyncio.sleep(2 * SLOW)
+            await asyncio.sleep(2 * DELAY)
 
-    one, two = Engine([SLOW, TURNED_AWAY]), Engine([SLOW, TURNED_AWAY])
-    played(play, wr1=one, wr2=two)
-    assert len(one.came + two.came) == 1
+    one, two = Engine([DELAY, REFUSED_NOT_RUN]), Engine([DELAY, REFUSED_NOT_RUN])
+    run_with_node(scenario, wr1=one, wr2=two)
+    assert len(one.requests + two.requests) == 1
 
 
 @LEAVES
@@ -84,48 +84,48 @@
 def test_bytes_that_are_buffered_already_are_not_begun(leave, behind):
     """The reading stopped at the first whole request behind the one in hand: the end was not seen."""
 
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             await client.send(b"".join(chat(100, trace=f"t{n}") for n in range(1 + behind)))
-            await node.until(lambda: wr.came)
+            await node.until(lambda: wr.requests)
             await asyncio.sleep(0.05)
             leave(client)
             left = time.monotonic()
-            await node.until(lambda: wr.left and not node.host.pending_requests)
+            await node.until(lambda: wr.disconnects and not node.host.pending_requests)
             took = time.monotonic() - left
-            await asyncio.sleep(SLOW)
+            await asyncio.sleep(DELAY)
             return took
 
     wr = Engine([HANG])
-    took = played(play, wr=wr)
-    assert [fields["x-trace-id"] for _, fields in wr.came] == ["t0"] and took < 1.0
+    took = run_with_node(scenario, wr=wr)
+    assert [fields["x-trace-id"] for _, fields in wr.requests] == ["t0"] and took < 1.0
 
 
 @LEAVES
 def test_what_comes_with_its_clients_end_is_not_begun(leave):
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             client.writer.write(chat(100))
             leave(client)
-            await asyncio.sleep(SLOW)
+            await asyncio.sleep(DELAY)
             return len(node.host.pending_requests)
 
     wr = Engine([HANG])
-    assert played(play, wr=wr) == 0
-    assert not wr.came
+    assert run_with_node(scenario, wr=wr) == 0
+    assert not wr.requests
 
 
 @pytest.mark.parametrize("prompt", [100, 5000])
 def test_a_client_that_left_while_the_loop_was_busy_gets_nothing_begun(prompt, monkeypatch):
     """Its end waits in the system, where the loop has not looked yet: the sender has to look itself."""
 
-    async def play(node):
+    async def scenario(node):
         host, _, port = node.address.rpartition(":")
         client = socket.create_connection((host, int(port)))
         client.sendall(chat(prompt))
         gone.append(client)
         await node.until(lambda: not gone and not node.host.pending_requests)
-        await asyncio.sleep(SLOW)
+        await asyncio.sleep(DELAY)
 
     take, gone = Link.take, []
 
@@ -137,31 +137,31 @@
         return connection
 
     monkeypatch.setattr(Link, "take", leaves)
-    rd, wr = Engine([HAS_READ]), Engine()
-    played(play, rd=rd, wr=wr)
-    assert not rd.of("POST") and not wr.of("POST")
+    rd, wr = Engine([PREFILLED]), Engine()
+    run_with_node(scenario, rd=rd, wr=wr)
+    assert not rd.lines("POST") and not wr.lines("POST")
 
 
 @LEAVES
 def test_a_client_that_sends_much_behind_its_request_and_goes_is_seen_to(leave):
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             client.writer.write(chat(100) + b"x" * 3_000_000)
-            await node.until(lambda: wr.came)
+            await node.until(lambda: wr.requests)
             await asyncio.sleep(0.05)
             leave(client)
-            await node.until(lambda: wr.left and not node.host.pending_requests)
+            await node.until(lambda: wr.disconnects and not node.host.pending_requests)
 
     wr = Engine([HANG])
-    played(play, wr=wr)
-    assert len(wr.came) == 1
+    run_with_node(scenario, wr=wr)
+    assert len(wr.requests) == 1
 
 
 def test_what_comes_early_is_answered_in_its_turn():
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(100, trace="t0") + chat(100, trace="t1") + b"no request\r\n\r\n")
             statuses = [(await client.answer())[0] for _ in range(3)]
             return statuses, await client.closed()
 
-    assert played(play, wr=Engine([0.05, STREAM])) == ([200, 200, 400], True)
+    assert run_with_node(scenario, wr=Engine([0.05, STREAM])) == ([200, 200, 400], True)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -6,7 +6,14 @@
 
 import pytest
 from onenode import Client, Engine, Node, chat, target
-from program import READY, Discovery, ending, free_address, ready, started
+from program import (
+    READY_REQUEST,
+    DiscoveryServer,
+    free_address,
+    killed_at_end,
+    start_process,
+    wait_until_ready,
+)
 
 AT_ONCE = 30
 READY_BY = 10.0
@@ -14,16 +21,16 @@
 
 def test_many_that_start_at_once_on_few_cores_are_ready_in_time(tmp_path):
     async def play():
-        wr, discovery = Engine(), Discovery()
+        wr, discovery = Engine(), DiscoveryServer()
         server = await asyncio.start_server(wr.connection, "127.0.0.1", 0)
         await discovery.up(target("wr", "{}:{}".format(*server.sockets[0].getsockname())))
         listens = [free_address() for _ in range(AT_ONCE)]
         processes = [
-            started(tmp_path / f"{n}.json", listen, discovery.address, cores=(0, 1))
+            start_process(tmp_path / f"{n}.json", listen, discovery.address, cores=(0, 1))
             for n, listen in enumerate(listens)
         ]
-        with ending(*processes):
-            took = sorted(await asyncio.gather(*(ready(listen, 30.0) for listen in listens)))
+        with killed_at_end(*processes):
+            took = sorted(await asyncio.gather(*(wait_until_ready(listen, 30.0) for listen in listens)))
             async with Client(listens[0]) as client:
                 await client.send(chat(100))
                 status = (await client.answer())[0]
@@ -47,9 +54,9 @@
 def test_ready_means_that_a_request_would_be_served(told, status):
     async def play():
         async with Node() as node:
-            node.tell(*told)
+            node.update_engines(*told)
             async with Client(node.address) as client:
-                await client.send(READY)
+                await client.send(READY_REQUEST)
                 return (await client.answer())[0]
 
     assert asyncio.run(play()) == status
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -10,12 +10,12 @@
 
 import pytest
 from helpers import Bench, entry, report
-from onenode import config, news, target
+from onenode import config, list_update, target
 
 from lifthead.interface import Ending
-from lifthead.node.discovery import news_of
+from lifthead.node.discovery import parse_update
 from lifthead.node.host import Host
-from lifthead.node.start import start_of
+from lifthead.node.start import parse_config
 
 SMALL, LARGE = 60, 1024
 
@@ -67,8 +67,8 @@
 def node_with(size, play):
     async def run():
         async with asyncio.TaskGroup() as tasks:
-            host = Host(start_of(json.dumps(config()).encode()), tasks)
-            text = news(
+            host = Host(parse_config(json.dumps(config()).encode()), tasks)
+            text = list_update(
                 *(target(f"{'rd' if n % 3 == 0 else 'wr'}{n}", f"127.0.0.1:{n + 1}") for n in range(size))
             )
             return play(host, text)
@@ -80,7 +80,7 @@
     def work(size):
         def play(host, text):
             def take():
-                host.on_news(news_of(text))
+                host.on_list_update(parse_update(text))
                 host.router._settle()
 
             return lines_run(take), lines_run(take)
@@ -96,7 +96,7 @@
         def play(host, text):
             tracemalloc.start()
             try:
-                host.on_news(news_of(text))
+                host.on_list_update(parse_update(text))
                 host.router._settle()
                 return tracemalloc.get_traced_memory()[0] / size
             finally:
