--- a/lifthead/node/__init__.py
+++ b/lifthead/node/__init__.py
@@ -1,1 +1,1 @@
-"""One router process on the users' platform: its protocol in and out, the same decisions."""
+"""One router process on the users' platform: its protocols around the shared decision module."""
--- a/lifthead/node/__main__.py
+++ b/lifthead/node/__main__.py
@@ -1,7 +1,7 @@
 """`python -m lifthead.node`: one router process.
 
-Nobody speaks TLS on the platform, and asyncio goes without where there is none. Loading it would cost each
-start some of its processor time, and each router 2 MB: a fleet starts hundreds at once.
+The `ssl` module is kept from loading: the platform does not use TLS, and asyncio works without it. Loading it
+would cost each start processor time and each router 2 MB, and a fleet starts hundreds of routers at once.
 """
 
 import sys
@@ -10,7 +10,7 @@
 
 from lifthead.node.signals import early_reload  # noqa: E402
 
-early_reload.install()  # the imports below take most of a start's time
+early_reload.install()  # before the imports below, which take most of the start's time
 
 from lifthead.node.serve import main  # noqa: E402
 
--- a/lifthead/node/clients.py
+++ b/lifthead/node/clients.py
@@ -1,6 +1,6 @@
-"""The clients' side of the platform's protocol: a message becomes a demand, or an error of 4xx.
+"""The clients' side of the platform's protocol: parses and validates requests, and words the answers.
 
-Its names stop here. Nothing is decided here but what can't be read.
+Names of the protocol are used in this module only. It rejects malformed requests and makes no other decision.
 """
 
 import re
@@ -14,14 +14,14 @@
 READY_PATH = "/ready"
 ID_HEADER = "x-trace-id"
 MAX_HEAD_BYTES = 16_384
-MAX_BODY_BYTES = 262_144  # a body holds so much at most
-FIRST_REQUEST_TIMEOUT = (
-    2.2  # seconds from a connection's accepting to its first req: an error or a close is owed in 3
-)
-RECEIVE_TIMEOUT = 2_000_000  # microseconds from a head's or a body's first byte to its last
-IDLE_TIMEOUT = 6_000_000  # microseconds that a connection without an open req is kept for its client
-MAX_BUDGET_MS = 3_600_000  # milliseconds that a client can say it waits
-CHARS_PER_TOKEN = 4  # a token is so many characters
+MAX_BODY_BYTES = 262_144
+# Seconds from accepting a connection to its first complete request. The platform requires an error answer or
+# a close within 3 s.
+FIRST_REQUEST_TIMEOUT = 2.2
+RECEIVE_TIMEOUT = 2_000_000  # microseconds from the first to the last byte of a head or a body
+IDLE_TIMEOUT = 6_000_000  # microseconds after which a connection without an open request is closed
+MAX_BUDGET_MS = 3_600_000
+CHARS_PER_TOKEN = 4  # to estimate the length of a prompt whose client doesn't say it
 
 _match_id = re.compile(r"[0-9A-Za-z_-]{1,64}").fullmatch
 _match_number = re.compile(r"[0-9]{1,9}").fullmatch
@@ -46,15 +46,15 @@
 def parse_request(
     message: Message, number: int, request_classes: dict[str, EndpointGroup], waited: int = 0
 ) -> Demand:
-    """A client's message as a demand under this number; HttpError with a 4xx if it is none. `waited`:
-    microseconds since its last byte came."""
+    """Parses a client's message into a request with this number; raises HttpError with a 4xx status if it is
+    malformed. `waited`: microseconds since its last byte arrived, which count against its budget."""
     if message.path.partition("?")[0] != CHAT_PATH:
-        raise HttpError(404, f"there is no {message.path[:60]}")
+        raise HttpError(404, f"unknown path {message.path[:60]}")
     if message.method != "POST":
         raise HttpError(405, "expected POST")
     headers = message.headers
     if not _match_id(headers.get(ID_HEADER, "")):
-        raise HttpError(400, f"{ID_HEADER} is missing or no id")
+        raise HttpError(400, f"{ID_HEADER} is missing or not a valid id")
     request_class = headers.get("x-qos", "")
     if request_class not in request_classes:
         raise HttpError(400, f"x-qos is {request_class!r:.40}, which is not served here")
@@ -64,7 +64,7 @@
     try:
         body = _decode_body(message.body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise HttpError(400, f"the body is no chat: {str(error)[:120]}") from None
+        raise HttpError(400, f"the body is not a chat request: {str(error)[:120]}") from None
     properties = dict(
         pair.strip().partition("=")[::2] for pair in headers.get("x-props", "").split(",") if pair
     )
@@ -103,10 +103,12 @@
 
 
 def rejection(retry_after: int) -> tuple[int, bytes, Headers]:
-    """Status, body and headers that say: a repeat does no harm. `hold_off`: microseconds, 0: none."""
+    """Returns status, body and headers of a rejection, which a client may safely retry. `retry_after`:
+    microseconds; 0 for no Retry-After header."""
     headers = {**JSON_HEADERS, "retry-after": f"{retry_after / 1e6:.3f}"} if retry_after else JSON_HEADERS
-    return 503, error_body(503, "pushed_back", "trying again does no harm"), headers
+    return 503, error_body(503, "pushed_back", "the request is safe to retry"), headers
 
 
 def failure() -> tuple[int, bytes, Headers]:
-    return 504, error_body(504, "aborted", "whether it had an effect is not known"), JSON_HEADERS
+    """Returns status, body and headers for a request that may have run and brought no answer."""
+    return 504, error_body(504, "aborted", "the request may have run or not"), JSON_HEADERS
--- a/lifthead/node/discovery.py
+++ b/lifthead/node/discovery.py
@@ -1,7 +1,8 @@
-"""Discovery's list and watch: JSON objects become entries of the list of engines.
+"""The client of the discovery service: decodes its updates and watches it for new ones.
 
-The follower keeps one watch open and opens another when it falls silent or ends; it tells nothing then, for
-the list in hand stays the best there is. An odd entry costs only itself, an odd object the watch it came on.
+A `Watch` keeps one streaming call open and starts another when the call ends or falls silent. A lost call
+changes nothing for the host: the last list remains the best one known. A malformed entry is dropped alone, a
+malformed update ends the call that it came on.
 """
 
 import asyncio
@@ -17,31 +18,30 @@
 from lifthead.http1 import HttpError
 from lifthead.interface import EngineEntry
 
-READ_BYTES = 65_536
-MAX_UPDATE_BYTES = 4 << 20  # bytes
-# A change counts as told 6 s after discovery had it and could be reached, whatever became of earlier
-# calls. The longest way back to a list is a call made a moment before: the three below in a row, seconds.
-SILENCE_TIMEOUT = 2.9  # without a whole line; an empty one comes every 2 s while nothing changes
+READ_BYTES = 65_536  # in one read of a connection
+MAX_UPDATE_BYTES = 4 << 20
+# The platform requires that a change is applied within 6 s of discovery having it and being reachable,
+# whatever happened to earlier calls. The slowest recovery is from a call that has just been made and hangs:
+# the silence timeout, the longest retry pause and the connect timeout one after the other. All are seconds.
+SILENCE_TIMEOUT = 2.9  # without a complete line; discovery sends an empty one every 2 s while nothing changes
 CONNECT_TIMEOUT = 0.5
-MAX_RETRY_PAUSES = (
-    0.1,
-    0.4,
-)  # the longest pause before the next call, after one failure and after many in a row
-# Where the list is asked for, discovery serves the whole fleet, and a call that it turns away costs it too:
-# all that ask again at once keep it from answering anybody. So the next call comes late, drawn by chance.
-REFUSED_PAUSE = (3.4, 4.0)  # seconds
-MAX_BOOT_MS = 1 << 42  # milliseconds of Unix time, in the year 2109: a start told later was never meant
+MAX_RETRY_PAUSES = (0.1, 0.4)  # before the next call, after one failure and after many in a row
+# A shared discovery service serves the whole fleet, and refusing a call costs it as much as answering one.
+# Routers that all retry at once keep it from answering any of them, so the pause after a refusal is long and
+# random: the shortest and the longest, in seconds.
+REFUSED_PAUSE = (3.4, 4.0)
+MAX_BOOT_MS = 1 << 42  # milliseconds of Unix time, in the year 2109; a later start time is an error
 STATES = ("ready", "draining", "gone")
 
 log = logging.getLogger(__name__)
 
 
 class MalformedUpdateError(Exception):
-    """What is no news of engines."""
+    """Received data is not an update of the list of engines."""
 
 
 class WatchRefusedError(MalformedUpdateError):
-    """Discovery answers, but takes no more calls now."""
+    """Discovery answered a call with an error status, as it does when it is overloaded."""
 
 
 class _Target(msgspec.Struct):
@@ -63,9 +63,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineListUpdate:
-    """The whole list of engines, or what changed; with each entry the engine's address, "" if none is told
-    that can be used. Starts are as told, in microseconds of Unix time: `lifthead.starts` turns them into this
-    machine's own."""
+    """The complete list of engines (a snapshot), or the entries that changed. Each entry comes with the
+    engine's address, which is empty if no valid one was given. Start times are wall clock times in
+    microseconds of Unix time; `lifthead.starts` converts them to this machine's monotonic clock."""
 
     version: int
     is_snapshot: bool
@@ -77,8 +77,9 @@
 
 
 def parse_update(data: bytes) -> EngineListUpdate:
-    """One object of the watch, or the whole list; StrangeNewsError if it is neither. An entry that can't be
-    read is left out, and of others as much is believed as harms nothing. Either is logged."""
+    """Decodes one update of a watch or the list in the configuration; raises MalformedUpdateError if it is
+    neither. An entry that can't be decoded is left out, and implausible fields of other entries are replaced
+    by harmless values. Both are logged."""
     try:
         message = _decode_update(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -91,13 +92,17 @@
             problems.append(f"{bytes(raw_target)!r:.60}: {error}")
     if problems:
         log.warning(
-            "version %d has %d odd entries, the first: %s", message.rev, len(problems), problems[0][:200]
+            "list version %d: %d malformed entries, the first: %s",
+            message.rev,
+            len(problems),
+            problems[0][:200],
         )
     return EngineListUpdate(message.rev, message.all, entries)
 
 
 def _engine_entry(target: _Target, problems: list[str]) -> tuple[EngineEntry, str]:
-    """An engine in a state that is not known here, or without an address, gets nothing new."""
+    """Converts an entry. An engine with an unknown state or without a valid address counts as draining, so
+    that it gets no new requests."""
     state, address, capacity = target.state, target.endpoint, target.capacity_hint
     try:
         http1.address_of(address)
@@ -111,7 +116,7 @@
         state = "draining"
     if not (math.isfinite(capacity) and capacity >= 0):
         problems.append(f"engine {target.uid!r:.40}: capacity_hint {capacity}")
-        capacity = 0.0  # not told
+        capacity = 0.0  # unknown
     boot_ms = target.boot_ms if 0 <= target.boot_ms <= MAX_BOOT_MS else 0.0
     if boot_ms != target.boot_ms:
         problems.append(f"engine {target.uid!r:.40}: boot_ms {target.boot_ms}")
@@ -122,7 +127,7 @@
 
 
 class UpdateAssembler:
-    """Lines of the watch to objects, which stand in one line or are indented over several."""
+    """Assembles the lines of a watch into updates, each of which is one JSON object on one or more lines."""
 
     def __init__(self) -> None:
         self._lines: list[bytes] = []
@@ -130,12 +135,12 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing was begun that is not at its end."""
+        """Whether no incomplete update is buffered."""
         return not self._lines
 
     def feed(self, line: bytes) -> EngineListUpdate | None:
-        """The news that this line ends, if it ends one; StrangeNewsError if it belongs to none. An empty line
-        only tells that the watch lives."""
+        """Returns the update that this line completes, if any; raises MalformedUpdateError if the lines so
+        far can't become one. An empty line between updates only shows that the connection is alive."""
         line = line.rstrip()
         if not line and not self._lines:
             return None
@@ -146,7 +151,8 @@
         try:
             update = parse_update(b"\n".join(self._lines))
         except MalformedUpdateError as error:
-            # An inner brace may end a line; what is whole and no news, or given up, won't become any.
+            # The line may end with the brace of an inner object. Only input that is cut off and not yet over
+            # the size limit can still become an update.
             if line and self._buffered_bytes <= MAX_UPDATE_BYTES and "truncated" in str(error):
                 return None
             raise
@@ -155,9 +161,9 @@
 
 
 class Watch:
-    """Keeps the list as discovery has it. `version` is that of the list in hand, 0 for none. The pauses
-    between its calls are drawn by chance: processes that lost discovery in one instant don't ask in one for
-    ever."""
+    """Follows the list of the discovery service. `version` is that of the current list, 0 if there is none.
+    The pauses between calls are random: otherwise all processes that lost discovery at the same moment would
+    retry at the same moments from then on."""
 
     def __init__(
         self,
@@ -167,21 +173,21 @@
         seed: int = 0,
         shared: bool = False,
     ) -> None:
-        """`shared`: the list is asked for, of a discovery that all routers share."""
+        """`shared`: all routers of the fleet use one discovery service."""
         self.address = address
         self._shared = shared
         self.version = version
-        self.has_update = False  # whether a whole line ever came
+        self.has_update = False  # whether a complete line was ever received
         self._on_update = on_update
         self._random = random.Random(seed)
-        self._consecutive_failures = 0  # calls in a row that brought no whole line
-        self._consecutive_malformed = 0  # watches in a row that ended with what is no news
+        self._consecutive_failures = 0  # calls in a row that brought no complete line
+        self._consecutive_malformed = 0  # calls in a row that a malformed update or a refusal ended
         self._last_logged = ""
         self._writer: asyncio.StreamWriter | None = None
         self._address_changed = asyncio.Event()
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Discovery is at another address from now on."""
+        """Moves the watch to another address of the discovery service."""
         if address == self.address:
             return
         self.address = address
@@ -190,11 +196,11 @@
             self._writer.transport.abort()
 
     async def run(self) -> None:
-        """Never returns."""
+        """Watches discovery, one call after another. Never returns."""
         while True:
             self._address_changed.clear()
             address = self.address
-            self._consecutive_failures += 1  # until a line shows otherwise
+            self._consecutive_failures += 1  # a complete line resets it
             refused_pause = 0.0
             try:
                 await self._watch_once(address)
@@ -211,28 +217,31 @@
                 pass
 
     def _log_once(self, text: str) -> None:
-        """Once, not at each call while discovery stays as it is."""
+        """Logs a message unless it is the same as the last one."""
         if text != self._last_logged:
             log.info("%s", text)
         self._last_logged = text
 
     async def _watch_once(self, address: tuple[str, int]) -> None:
-        """One watch, to its end. TimeoutError if it falls silent."""
+        """Makes one call and applies its updates until it ends. Raises TimeoutError if it falls silent."""
         async with asyncio.timeout(CONNECT_TIMEOUT):
             reader, writer = await asyncio.open_connection(*address, limit=READ_BYTES)
         self._writer = writer
         try:
             if address != self.address:
                 return
-            # What changed since may be odd each time it is asked for: then the whole list is.
+            # After two malformed updates in a row the complete list is requested: the changes since the
+            # current version may be malformed each time.
             path = f"/v1/endpoints?stream=1&index={self.version if self._consecutive_malformed < 2 else 0}"
             writer.write(http1.head(f"GET {path} HTTP/1.1", {"host": address[0]}))
             line_decoder, assembler = http1.Lines(MAX_UPDATE_BYTES), UpdateAssembler()
-            # Bytes alone show no life: half a line, or an object that never ends, is as good as silence.
+            # Only a complete line or update resets the timeout: half a line, or an object that never ends, is
+            # no better than silence.
             async with asyncio.timeout(SILENCE_TIMEOUT) as silence_timeout:
                 while not line_decoder.answer.complete:
                     data = await reader.read(READ_BYTES)
-                    if not data or address != self.address:  # what is still buffered may be further back
+                    # Data still buffered from an old address may be older than the new address's list.
+                    if not data or address != self.address:
                         return
                     received_lines, head = line_decoder.feed(data), line_decoder.answer.head
                     if head and head.status != 200:
--- a/lifthead/node/engines.py
+++ b/lifthead/node/engines.py
@@ -1,7 +1,7 @@
-"""The engines' side of the platform's protocol: forwards, releases, probes, load reports and streams.
+"""The engines' side of the platform's protocol: attempts, releases, probes, load reports and streams.
 
-What was seen of a forward on its socket becomes an `Ending` in one place, `ENDINGS`, which differs in one
-line from that of engines/codec.py. Nothing is decided here.
+The table `OUTCOMES` alone maps what was observed of an attempt on its socket to the attempt's outcome; it
+differs from the table of engines/codec.py in one entry. This module makes no routing decisions.
 """
 
 import math
@@ -16,23 +16,21 @@
 from lifthead.interface import Ending, LoadReport
 from lifthead.node.clients import ID_HEADER
 
-MAX_HEAD_BYTES = 16_384  # of an answer; more is no head
-MAX_CHUNK_BYTES = 262_144  # of a chunk or an event; more is none
+MAX_HEAD_BYTES = 16_384  # of an answer's head
+MAX_CHUNK_BYTES = 262_144  # of a chunk or an event
 MAX_ANSWER_BYTES = 262_144  # of an answer that is not a stream
-STREAM_SILENCE_TIMEOUT = (
-    3.8  # seconds that a begun stream may bring nothing; its client may be left waiting for 5
-)
-MAX_RECONNECTS = 2  # more connections for a forward, after one that was reset before all of it was written
-IDLE_FRACTION = 0.6  # of the time after which the other end closes an idle connection
+STREAM_SILENCE_TIMEOUT = 3.8  # seconds without a byte on a begun stream; a client may have to wait for 5
+MAX_RECONNECTS = 2  # for an attempt whose connections are reset before all of it is written
+IDLE_FRACTION = 0.6  # of the engine's idle timeout, for which an unused connection counts as usable
 NEVER_RAN_HEADER = "x-never-ran"
 EXPIRES_HEADER = "x-expires-in-ms"
-# What concerns one connection alone, or is worded anew. All else of a client's head goes on as it came, known
-# here or not: an idempotency key, say, whatever its name.
+# Headers that concern one connection only, or that this router sets itself. All other headers of a client are
+# passed on unchanged, known here or not: one of them may be an idempotency key, whatever its name.
 HOP_BY_HOP_HEADERS = frozenset(
     ("connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te",
      "trailer", "transfer-encoding", "upgrade", "expect", "content-length", "host", EXPIRES_HEADER)
 )  # fmt: skip
-LOAD_REPORT_FIELDS = {  # both ways to name a figure of a report
+LOAD_REPORT_FIELDS = {  # wire names, some of which are synonyms, to fields of LoadReport
     "inflight": "held",
     "rif": "held",
     "queue": "queued",
@@ -42,7 +40,8 @@
     "x1": "unread_thousands",
 }
 
-# What came spoilt says nothing of the engine's machine, so it counts as an error of its program.
+# Bytes that are not the protocol say nothing about the engine's machine, so they count as an error of its
+# program.
 OUTCOMES = {**codec.ENDINGS, Observation.STRANGE: (Ending.ERROR, 0)}
 
 
@@ -69,8 +68,8 @@
 
 
 def encode_attempt(message: Message, time_left: int) -> bytes:
-    """A client's message as it goes to an engine: passed through, with how long this router will wait
-    (microseconds)."""
+    """Encodes a client's request for an engine: as it came, but for the headers of its connection and the
+    time in microseconds that this router will wait for the answer."""
     connection_options = {name.strip().lower() for name in message.headers.get("connection", "").split(",")}
     headers = {"host": message.headers.get("host", "backend.local")}
     for name, value in message.headers.items():
@@ -84,13 +83,13 @@
     return b"DELETE /bootstrap/rooms/%b HTTP/1.1\r\nhost: backend.local\r\n\r\n" % request_id.encode()
 
 
-RELEASE_TAKEN_STATUSES = range(200, 300)  # statuses that say that a release was taken
+RELEASE_TAKEN_STATUSES = range(200, 300)  # with which an engine acknowledges a release
 
 PROBE_REQUEST = b"GET /status/load HTTP/1.1\r\nhost: backend.local\r\n\r\n"
 
 
 def observation_of(head: Message) -> Observation | None:
-    """What the head of an answer says of the forward; None for a stream that is still to come."""
+    """Returns what the head of an answer shows about the attempt; None if a stream follows."""
     if head.status == 200:
         return None
     if head.status == 202:
@@ -101,16 +100,17 @@
 
 
 def cached_tokens_in(body: bytes) -> int:
-    """How much of the prompt a reader found kept; HttpError if its answer can't be read."""
+    """Returns how many prompt tokens a prefill engine found in its prefix cache; raises HttpError if its
+    answer can't be decoded."""
     try:
         return _decode_prefill_answer(body).cached_tokens
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise HttpError(502, f"a read's answer: {str(error)[:100]}") from None
+        raise HttpError(502, f"malformed prefill answer: {str(error)[:100]}") from None
 
 
 def parse_load_report(text: str) -> LoadReport | None:
-    """A load report in its text form; None if there is none that can be read. A figure that is no load is
-    left out, the others stay."""
+    """Parses a load report in its text form; returns None if it has no valid value. Unknown and invalid
+    values are left out."""
     fields: dict[str, float] = {}
     for name, value in _find_pairs(text):
         try:
@@ -127,28 +127,29 @@
 
 
 class EventStream:
-    """Reads a stream: only whole events pass, and only such as an engine makes. Comments pass along."""
+    """Splits and checks the event stream of an engine: only complete and well-formed events and comments are
+    passed on."""
 
     def __init__(self) -> None:
         self._incomplete = b""
         self.begun = self.ended = False
-        self.cached_tokens = 0  # prompt tokens found kept, as its end tells
+        self.cached_tokens = 0  # prompt tokens found in the prefix cache, as the last event says
         self.report: LoadReport | None = None
 
     @property
     def is_complete(self) -> bool:
-        """Whether the stream came to its own end, with nothing half behind it."""
+        """Whether the stream ended with its end mark and no incomplete event is left."""
         return self.ended and not self._incomplete.strip()
 
     def feed(self, data: bytes) -> bytes:
-        """What may be passed on now; HttpError if what came is no event."""
+        """Returns the complete events that may be passed on; raises HttpError for a malformed one."""
         data = self._incomplete + data
         end = data.rfind(b"\n\n") + 2
         if end < 2:
             end = 0
         self._incomplete, complete = data[end:], data[:end]
         if len(self._incomplete) > MAX_CHUNK_BYTES:
-            raise HttpError(502, f"an event is over {MAX_CHUNK_BYTES} bytes")
+            raise HttpError(502, f"event of more than {MAX_CHUNK_BYTES} bytes")
         for line in complete.split(b"\n"):
             if line:
                 self._parse_line(line)
@@ -165,10 +166,10 @@
             return
         try:
             if not line.startswith(b"data: "):
-                raise HttpError(502, f"no event: {line[:40]!r}")
+                raise HttpError(502, f"not an event: {line[:40]!r}")
             event = _decode_event(line[6:])
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            raise HttpError(502, f"an event: {str(error)[:100]}") from None
+            raise HttpError(502, f"malformed event: {str(error)[:100]}") from None
         self.begun = True
         if event.usage and event.usage.prompt_tokens_details:
             self.cached_tokens = event.usage.prompt_tokens_details.cached_tokens
--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -1,9 +1,10 @@
-"""The one caller of control.Router in the node: news from sockets becomes calls, its calls become tasks.
+"""The node's host of the decision module (control.Router): reports events to it and carries out its calls.
 
-Boundaries kept here:
-- the module's calls return at once and its news comes on a later turn of the loop, in order, from one loop;
-- what any host does alike (one final answer, attempts out, wake-ups) is in lifthead/hosting.py;
-- deadlines are the module's; a begun stream without a byte for long is cut, and that is logged.
+- The decision module's calls return at once. Their results are reported to it on a later turn of the event
+  loop, in order, from that one loop.
+- What all hosts have in common (one final answer, attempts in flight, timers) is in lifthead/hosting.py.
+- The decision module sets the deadlines. The host itself cuts only a begun stream that falls silent, and logs
+  that.
 """
 
 import asyncio
@@ -25,24 +26,25 @@
 from lifthead.node.discovery import EngineListUpdate
 from lifthead.node.start import NodeConfig
 
-PROBE_TIMEOUT = 0.5  # seconds for a probe; the module is told nothing of a lost one
-CONNECTION_CHECK_TIMEOUT = 0.1  # seconds for a kept connection to show that it is not silent
+PROBE_TIMEOUT = 0.5  # seconds; a probe that times out is reported without a load report
+CONNECTION_CHECK_TIMEOUT = 0.1  # seconds for a reused connection to show that it still works
 RELEASE_TIMEOUT = 0.5  # seconds for an engine to answer a release
-LIVENESS_TIMEOUT = 2.0  # ... and for one that may stand still to answer anything
-# A release goes to the holder, then after so many seconds each without an answer also to others.
+LIVENESS_TIMEOUT = 2.0  # seconds for an engine to answer anything; it may be stalled
+# A release goes to the holder first. After each of these pauses without an answer, in seconds, it also goes
+# to other engines.
 RELEASE_PAUSES = (0.05, 0.05, 0.1, 0.3, 0.5)
-MAX_RELEASE_ZONES = 4  # engines that are asked at once, each of another zone
+RELEASE_ZONES = 4  # other engines that get a release after one pause, each in a different zone
 SWEEP_INTERVAL = 0.5  # seconds
-LOGGED_LOOP_DELAY = 200_000  # microseconds of delay of ours that are worth a line in the log
-MAX_LOGGED_PER_ENGINE = 8  # different things that are logged of one engine
-FORGET_GONE_AFTER = 20_000_000  # microseconds for which an engine that is gone is remembered: it may be back
+LOGGED_LOOP_DELAY = 200_000  # microseconds of delay of the event loop above which it is logged
+MAX_LOGGED_PER_ENGINE = 8  # different warnings
+FORGET_GONE_AFTER = 20_000_000  # microseconds after which a gone engine is forgotten; it may return before
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class PendingRequest(hosting.PendingRequest):
-    """A request that was taken and whose attempts are not all over."""
+    """An accepted request that has no final answer yet or still has an attempt in flight."""
 
     request_class: str
     message: Message
@@ -50,37 +52,39 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint(hosting.Endpoint):
-    """An engine as the node knows it."""
+    """What the node knows about an engine."""
 
     last_heard_at: int = 0
     zone: str = ""
-    logged: set[str] = field(default_factory=set)  # what was logged of it
+    logged: set[str] = field(default_factory=set)  # warnings that were logged about it
 
 
 class Host(Hosting):
+    """The host of the decision module in a node."""
+
     endpoint_type = Endpoint
 
     def __init__(self, config: NodeConfig, tasks: asyncio.TaskGroup) -> None:
         super().__init__(config.deployment, tasks)
         self._config = config
         self._open_request_ids: set[str] = set()
-        self._connections_in_use = 0  # to engines, in use
+        self._connections_in_use = 0  # to engines
         self.max_connections = config.max_engine_connections
-        self.close_idle_client: Callable[[], object] = bool  # has an idle client's connection closed
-        self.list_is_current: Callable[[], bool] = lambda: True  # whether the list is what discovery has now
-        self._idle_connections: dict[Connection, Link] = {}  # to engines, the one that waits longest first
+        self.close_idle_client: Callable[[], object] = bool  # closes the connection of an idle client
+        self.list_is_current: Callable[[], bool] = lambda: True  # whether the list is known to be up to date
+        self._idle_connections: dict[Connection, Link] = {}  # to engines, the longest idle one first
         self.events = EventLog(log)
         self._lasting = Lasting(config.engine_idle_timeout / 1e6 * engines.IDLE_FRACTION)
         self.router = control.Router(self, config.deployment)
 
-    # What comes in.
+    # Input: updates of the list of engines, and requests of clients.
 
     def on_list_update(self, update: EngineListUpdate) -> None:
-        """Discovery's word. What is left out of a whole list counts as gone."""
+        """Applies an update of discovery. Engines that a snapshot leaves out count as gone."""
         at, clock_offset, entries = now(), wall_ahead(), []
         for entry, address in update.entries:
             endpoint = self.endpoints.get(entry.engine)
-            if address or endpoint:  # without an address, only what is known already can be told of
+            if address or endpoint:  # a new engine without an address is of no use
                 address = address or endpoint.link.address
                 self._note(entry.engine, address, entry.kind, entry.readiness, at).zone = entry.zone
                 up_since = self.starts.up_since(entry.engine, entry.up_since, at, clock_offset)
@@ -97,14 +101,14 @@
         )
 
     async def answer(self, message: Message, reply: Reply) -> None:
-        """A client's message, from its last byte to the end of its answer."""
+        """Serves a client's message until its answer is complete."""
         if message.path == clients.READY_PATH and message.method == "GET":
             return reply.whole(200 if self._can_serve and self.list_is_current() else 503, b"")
         try:
             demand = clients.parse_request(message, self._next, self._groups, self.waited(message))
             request_id = message.headers[clients.ID_HEADER]
             if request_id in self._open_request_ids:
-                raise HttpError(409, "a req with this id is open")
+                raise HttpError(409, "a request with this id is in progress")
         except HttpError as error:
             reply.keep_alive = False
             return reply.whole(error.status, clients.error_body(error.status, "bad_req", error.said))
@@ -124,22 +128,22 @@
 
     @property
     def _can_serve(self) -> bool:
-        """Whether a request would be: some engine is there for it."""
+        """Whether any engine is ready for requests."""
         return any(
             endpoint.readiness == "ready" and endpoint.kind in self._roles
             for endpoint in self.endpoints.values()
         )
 
     def _left(self, pending: PendingRequest) -> None:
-        """The client went away: what is out for it is called off, what is held is let go of."""
+        """Handles the disconnect of a client: cancels its attempt in flight and releases its held state."""
         if not self._answered(pending, "left"):
             return
         self.router.on_expired(pending.id)
         if pending.begun and pending.attempt:
-            self.cancel(pending.id, pending.attempt.number)  # a stream that nobody reads
+            self.cancel(pending.id, pending.attempt.number)  # nobody receives the stream
         self._forget(pending)
 
-    # What the module does.
+    # Calls of the decision module.
 
     def push_back(self, request: int, retry_after: int) -> None:
         pending = self.pending_requests[request]
@@ -152,12 +156,12 @@
             pending.reply.whole(*clients.failure())
 
     def probe(self, engine: str) -> None:
-        self._spawn(self._probe(engine), f"a probe of {engine}")
+        self._spawn(self._probe(engine), f"probe of {engine}")
 
-    # Carrying an attempt.
+    # Running an attempt.
 
     async def _carry(self, pending: PendingRequest, attempt: AttemptInFlight, abandon_at: int) -> None:
-        """From the sending of an attempt to the telling of its ending; owns its connection throughout."""
+        """Runs an attempt until its outcome is reported. It owns the attempt's connection throughout."""
         attempt.started = True
         endpoint = self.endpoints[attempt.engine]
         connection: Connection | None = None
@@ -169,12 +173,13 @@
             async with asyncio.timeout((abandon_at - now()) / 1e6) as timeout:
                 if attempt.called_off:
                     raise asyncio.CancelledError
-                # A kept connection that was dropped at the other end can't be told from an attempt that ran.
-                is_repeatable = (
+                # When a reused connection breaks, the engine may have dropped it unread or may have run the
+                # attempt. So only an attempt that may run twice goes on a reused connection.
+                may_run_twice = (
                     attempt.reading or self._groups[pending.request_class].effect is Effect.REPLAYABLE
                 )
                 is_repeated_fetch = attempt.work is Work.FETCH and attempt.number > 1
-                for fresh in (not is_repeatable or is_repeated_fetch, *[True] * engines.MAX_RECONNECTS):
+                for fresh in (not may_run_twice or is_repeated_fetch, *[True] * engines.MAX_RECONNECTS):
                     connection = None
                     try:
                         connection = await self._connect(pending, attempt, endpoint, fresh)
@@ -182,7 +187,7 @@
                             pending, attempt, endpoint, connection, timeout, abandon_at
                         )
                         break
-                    except UnwrittenError:  # reset before all of it was written: none of it was taken
+                    except UnwrittenError:  # reset before all of it was written: the engine ran none of it
                         observation = Observation.NO_CONNECTION
                         if connection:
                             connection.abort()
@@ -199,15 +204,15 @@
             observation = Observation.CUT if connection else Observation.NO_CONNECTION
         except HttpError as error:
             observation = Observation.STRANGE
-            _log_once(endpoint, attempt.engine, f"strange answer: {error.said[:120]}")
-        except Exception:  # guards all other requests against a fault of ours in this one
+            _log_once(endpoint, attempt.engine, f"malformed answer: {error.said[:120]}")
+        except Exception:  # a bug that this request meets must not affect the others
             observation = Observation.CUT
-            log.exception("a forward to %s", attempt.engine)
+            log.exception("attempt at engine %s failed", attempt.engine)
         self._connections_in_use -= 1
         if connection and observation is Observation.CUT:
             endpoint.link.broke(connection)
         elif connection and connection.uses and not connection.answered:
-            endpoint.link.close()  # others that rest may be silent as well
+            endpoint.link.close()  # the other idle connections may be silent as well
         if observation not in (Observation.READ, Observation.WRITTEN):
             reason = f"reason={observation.name.lower()} work={attempt.work.value}"
             self._report_event(pending, Event.CLOSED, attempt, f"{reason} {connection or ''}")
@@ -217,9 +222,9 @@
     async def _connect(
         self, pending: PendingRequest, attempt: AttemptInFlight, endpoint: Endpoint, fresh: bool
     ) -> Connection:
-        """A connection for an attempt. A kept one may have fallen silent with no error, so it is asked first:
-        a release of what this request holds, which is nothing yet. A call that is to fetch a state can't ask
-        that; its lease bounds the wait."""
+        """Returns a connection for an attempt. An idle connection may have gone silent without an error, so
+        it is checked with a release for this request, which holds nothing yet. Where the attempt is to fetch
+        a held state the check would release it, so there is none; the lease bounds the wait instead."""
         connection = await endpoint.link.take(fresh)
         if not connection.uses or attempt.work is Work.FETCH:
             return connection
@@ -229,7 +234,7 @@
         self._report_event(pending, Event.CLOSED, attempt, f"reason=silent {connection}")
         endpoint.link.broke(connection)
         connection.abort()
-        endpoint.link.close()  # others that rest may be silent as well
+        endpoint.link.close()  # the other idle connections may be silent as well
         return await endpoint.link.take(fresh=True)
 
     async def _send_and_receive(
@@ -241,7 +246,8 @@
         timeout: asyncio.Timeout,
         due_at: int,
     ) -> tuple[Observation, int, LoadReport | None]:
-        """Sends an attempt and reads its answer: what was seen, tokens found kept, the load told with it."""
+        """Sends an attempt and reads its answer. Returns what was observed, the prompt tokens that were found
+        in the prefix cache, and the load report that came with the answer."""
         if refused := self._refused(pending, attempt, endpoint):
             return refused, 0, None
         self._note_event(pending, Event.WRITING, attempt, f"uses={connection.uses}")
@@ -273,7 +279,8 @@
         connection: Connection,
         timeout: asyncio.Timeout,
     ) -> tuple[Observation, int, LoadReport | None]:
-        """Relays a writer's events as they come. Until the first has, another attempt is possible."""
+        """Relays the events of a decode engine as they arrive. Another attempt is possible until the first
+        one has arrived."""
         events, timer_set_at = engines.EventStream(), 0.0
         buffered = b""
         while data := await connection.more():
@@ -289,7 +296,7 @@
                 pending.guard.fetched(attempt, now())
                 self._releases.look_at(pending.guard)
                 self._note_event(pending, Event.FETCHED, attempt)
-                pending.message.body = b""  # there is no further attempt, and streams are long
+                pending.message.body = b""  # no other attempt follows, and a stream may last long
                 self.router.on_begun(pending.id, attempt.number, now() - attempt.sent_at)
                 pending.reply.begin({}, complete_events)
                 has_room = True
@@ -303,7 +310,7 @@
                 timer_set_at = self._loop.time()
                 timeout.reschedule(timer_set_at + engines.STREAM_SILENCE_TIMEOUT * 9 / 8)
         if not pending.begun or not events.is_complete:
-            raise HttpError(502, "a stream that is not whole")
+            raise HttpError(502, "incomplete stream")
         if self._answered(pending, "done"):
             pending.reply.end()
         return Observation.WRITTEN, events.cached_tokens, events.report
@@ -316,7 +323,7 @@
         cached_tokens: int,
         report: LoadReport | None,
     ) -> None:
-        """Tells how an attempt ended. A stream that broke at its client ends with no last chunk."""
+        """Reports how an attempt ended. A stream that broke off ends without its last chunk at the client."""
         outcome, outcome_note = engines.OUTCOMES[observation]
         self._ended(pending, attempt, observation)
         if pending.begun and self._answered(pending, "broken"):
@@ -338,12 +345,14 @@
                 report,
             )
         if pending.ended and pending.attempt is None:
-            self.free_state(pending.id)  # guards rule 5 where the module has forgotten the request
+            # The decision module may have forgotten the request; its state must still be released in time.
+            self.free_state(pending.id)
         self._forget(pending)
 
     def _enforce_connection_limit(self) -> None:
-        """Engines' connections stay within their part of the descriptors: the longest unused one goes, then
-        an idle client. What is out for clients stays within: there are fewer of those (start.CLIENTS)."""
+        """Keeps the connections to engines within their share of the descriptors: closes the longest idle
+        ones first, then the connection of an idle client. Open requests never need more than that share,
+        since there are fewer connections of clients (start.CLIENT_SHARE)."""
         while (
             self._idle_connections
             and self._connections_in_use + len(self._idle_connections) + len(self._ending)
@@ -356,16 +365,16 @@
             self.close_idle_client()
 
     async def _ask_to_release(self, guard: RequestGuard) -> int:
-        """Asks more and more engines until one has answered, as any of them passes a release on. All but the
-        first question go on connections of their own: what is kept may be silent, as whatever led to the
-        release may have been."""
-        began, holder = now(), guard.held_at
+        """Sends a release to more and more engines until one has answered; any engine passes it on. All but
+        the first message go on new connections: idle ones may be silent, as the connection that made the
+        release necessary may have been."""
+        started_at, holder = now(), guard.held_at
         in_flight = guard.attempt.engine if guard.attempt else "none"
         reason = guard.final or "lease"
         detail = f"reason={reason} in_flight={in_flight} holders={','.join(guard.holders.values())}"
-        self.events.report(began, Event.RELEASING, guard.request, engine=holder, detail=detail)
+        self.events.report(started_at, Event.RELEASING, guard.request, engine=holder, detail=detail)
         sent_at = await self._release_at_engines(holder, engines.encode_release(guard.request))
-        took_us = now() - began
+        took_us = now() - started_at
         if sent_at:
             in_flight = guard.attempt.engine if guard.attempt else "none"
             detail = f"took_us={took_us} asked_at_us={sent_at} in_flight={in_flight}"
@@ -375,27 +384,27 @@
         return sent_at
 
     async def _release_at_engines(self, holder: str, release_request: bytes) -> int:
-        """When the first question that was answered was sent, 0 if none was."""
+        """Returns when the first answered release was sent, 0 if none was answered."""
         answered, sent_at = asyncio.Event(), 0
 
-        async def ask_engine(engine: str, fresh: bool) -> None:
+        async def send_release(engine: str, fresh: bool) -> None:
             nonlocal sent_at
-            began = now()
+            started_at = now()
             answer = await self._query_engine(engine, release_request, RELEASE_TIMEOUT, fresh)
             if answer and answer[0].status in engines.RELEASE_TAKEN_STATUSES:
-                sent_at = sent_at or began
+                sent_at = sent_at or started_at
                 answered.set()
             elif answer and (endpoint := self.endpoints.get(engine)):
                 _log_once(endpoint, engine, f"a release was answered with {answer[0].status}")
 
-        async with asyncio.TaskGroup() as queries:
+        async with asyncio.TaskGroup() as release_tasks:
             tasks = []
             for round_number, pause in enumerate(RELEASE_PAUSES):
-                engines_asked = (
+                targets = (
                     [holder, *self._recently_heard(holder, round_number - 1)] if round_number else [holder]
                 )
                 tasks += [
-                    queries.create_task(ask_engine(engine, round_number > 0)) for engine in engines_asked
+                    release_tasks.create_task(send_release(engine, round_number > 0)) for engine in targets
                 ]
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(pause):
@@ -406,17 +415,18 @@
         return sent_at
 
     def _recently_heard(self, holder: str, round_number: int) -> list[str]:
-        """The engine last heard of in each zone, or the one before it at a later turn: a zone that is cut off
-        was heard of until a moment ago."""
+        """Returns the engine that was heard from last in each zone, in later rounds the one before it. It
+        looks in several zones because a zone that is cut off was also heard from until a moment ago."""
         names_by_zone: dict[str, list[str]] = {self._config.deployment.zone: []}
         for name in sorted(self.endpoints, key=lambda name: -self.endpoints[name].last_heard_at):
             if name != holder and self.endpoints[name].readiness != "gone":
                 names_by_zone.setdefault(self.endpoints[name].zone, []).append(name)
-        zones = [names for names in names_by_zone.values() if names][:MAX_RELEASE_ZONES]
+        zones = [names for names in names_by_zone.values() if names][:RELEASE_ZONES]
         return [names[round_number % len(names)] for names in zones]
 
     async def _is_answered(self, engine: str, guard: RequestGuard) -> bool:
-        """Any engine takes a release of a request that is over, and any status shows that it runs."""
+        """Pings an engine with a release: it is harmless once the request is over, and any status shows that
+        the engine runs."""
         answer = await self._query_engine(
             engine, engines.encode_release(guard.request), LIVENESS_TIMEOUT, fresh=True
         )
@@ -433,26 +443,26 @@
         self.router.on_probed(engine, report)
 
     async def _query_engine(
-        self, engine: str, data: bytes, within: float, fresh: bool = False
+        self, engine: str, data: bytes, timeout: float, fresh: bool = False
     ) -> tuple[Message, bytes] | None:
-        """One short question; None if it was not answered in time."""
+        """Sends a short message to an engine; returns None if it is not answered in time."""
         endpoint = self.endpoints.get(engine)
         if endpoint is None:
-            return None  # gone, and forgotten since
+            return None  # it is gone and was forgotten
         self._connections_in_use += 1
-        began = now()
+        started_at = now()
         try:
             self._enforce_connection_limit()
-            answer = await endpoint.link.ask(data, within, fresh)
+            answer = await endpoint.link.ask(data, timeout, fresh)
             if answer:
-                endpoint.last_heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, began)
+                endpoint.last_heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, started_at)
             return answer
         finally:
             self._connections_in_use -= 1
 
     async def maintain_links(self) -> None:
-        """Closes what waits unused for too long, forgets engines that are gone, as new ones come all day, and
-        looks for states that are held for too long."""
+        """Closes connections that are idle for too long, forgets gone engines, which new ones replace all the
+        time, and looks for states that are held for too long."""
         while True:
             due_at = now() + int(SWEEP_INTERVAL * 1e6)
             await asyncio.sleep(SWEEP_INTERVAL)
@@ -472,7 +482,7 @@
         holders = {engine for guard in guards for engine in guard.holders.values()}
         return {pending.attempt.engine for pending in pending_requests if pending.attempt} | holders
 
-    # The end of a request.
+    # End of a request.
 
     def _answered(self, pending: PendingRequest, ended: str) -> bool:
         is_first = super()._answered(pending, ended)
@@ -489,7 +499,7 @@
         self._open_request_ids.discard(pending.message.headers[clients.ID_HEADER])
         return True
 
-    # Evidence.
+    # Log and events.
 
     def _violated(self, rule: Rule, request: str, why: str) -> None:
         self.events.report(now(), Event.VIOLATION, request, detail=f"rule={rule.value} why={why}")
@@ -510,7 +520,7 @@
 
 
 def _log_once(endpoint: Endpoint, engine: str, text: str) -> None:
-    """Once for an engine, not once for a request."""
+    """Logs a warning about an engine, unless it was logged about this engine before."""
     if text not in endpoint.logged and len(endpoint.logged) < MAX_LOGGED_PER_ENGINE:
         endpoint.logged.add(text)
         log.warning("%s: %s", engine, text)
--- a/lifthead/node/serve.py
+++ b/lifthead/node/serve.py
@@ -1,4 +1,4 @@
-"""Starts one router on the users' platform, reads its configuration anew on SIGHUP, stops it on SIGTERM."""
+"""Runs one router on the users' platform: reloads its configuration on SIGHUP and stops it on SIGTERM."""
 
 import asyncio
 import gc
@@ -17,22 +17,19 @@
 from lifthead.node.start import ConfigError, NodeConfig
 
 BACKLOG = 1024
-ACCEPT_CONNECTIONS_FOR = (
-    0.55  # seconds after SIGTERM for which new connections are still taken: the front hears late
-)
-ACCEPT_REQUESTS_FOR = (
-    0.7  # ... and for which requests are: what comes later may be found unanswered by SIGKILL
-)
-FIRST_UPDATE_TIMEOUT = (
-    0.3  # seconds for discovery's first word, until which the list in hand may be an old one
-)
+# Seconds after SIGTERM for which new connections are accepted: the front balancer learns of the stop late.
+ACCEPT_CONNECTIONS_FOR = 0.55
+# Seconds after SIGTERM for which new requests are accepted: a later one may not be answered before SIGKILL.
+ACCEPT_REQUESTS_FOR = 0.7
+# Seconds to wait for the first update of discovery: until then the list of the configuration may be outdated.
+FIRST_UPDATE_TIMEOUT = 0.3
 
 log = logging.getLogger("lifthead.node")
 
 
 @dataclass(slots=True)
 class ClientLimits:
-    """What clients may send and hold."""
+    """Limits for the connections of clients: a count, bytes and microseconds."""
 
     connections: int
     header_bytes: int = clients.MAX_HEAD_BYTES
@@ -64,7 +61,7 @@
         loop.add_signal_handler(signal.SIGUSR1, host.events.dump, "SIGUSR1")
         if config.initial_list:
             host.on_list_update(config.initial_list)
-            host.starts.begin_anew()  # it may be an old list
+            host.starts.begin_anew()  # the list of the configuration may be outdated
         version = config.initial_list.version if config.initial_list else 0
         shared = config.deployment.must_ask
         watch = Watch(config.discovery, version, host.on_list_update, config.deployment.seed, shared)
@@ -85,9 +82,9 @@
         ]
         accepting = tasks.create_task(client_listener.accept(listening_socket, tasks))
         gc.collect()
-        gc.freeze()  # what is there now stays: the collector need not look at it again
+        gc.freeze()  # objects from the start live on: the collector need not scan them again
         gc.set_threshold(20_000, 20, 50)
-        log.info("%s listens at %s:%d", config.name, *config.listen)
+        log.info("%s listens on %s:%d", config.name, *config.listen)
         await stop.wait()
         await asyncio.sleep(ACCEPT_CONNECTIONS_FOR)
         client_listener.stop(ACCEPT_REQUESTS_FOR - ACCEPT_CONNECTIONS_FOR)
@@ -106,16 +103,16 @@
 async def reload_on_signal(
     path: str, reload: asyncio.Event, watch: Watch, client_listener: Clients, host: Host
 ) -> None:
-    """A new configuration under the same path. One that can't be used leaves all as it is."""
+    """Reads the configuration again at each SIGHUP. An invalid one is logged and changes nothing."""
     while True:
         await reload.wait()
         reload.clear()
         try:
             config = start.read_config(path)
         except ConfigError as error:
-            log.error("the new configuration is not used: %s", error)
+            log.error("invalid new configuration, the old one stays in use: %s", error)
             continue
-        log.info("new configuration: discovery is at %s:%d", *config.discovery)
+        log.info("configuration reloaded: discovery is at %s:%d", *config.discovery)
         watch.set_address(config.discovery)
         client_listener.limits = ClientLimits(config.max_client_connections)
         host.max_connections = config.max_engine_connections
--- a/lifthead/node/signals.py
+++ b/lifthead/node/signals.py
@@ -1,7 +1,7 @@
-"""SIGHUP at any moment of a process's life: before its event loop listens for it, and after that has ended.
+"""Handling of SIGHUP before the event loop has a handler for it, and after the loop has closed.
 
-Its default is to end the process. What comes early is remembered, since the configuration may have been read
-before it was renewed; what comes as the process ends changes nothing any more.
+The default action of SIGHUP ends the process. An early SIGHUP is remembered, since the configuration may have
+been read before it changed; one that arrives while the process exits has no effect.
 """
 
 import signal
@@ -11,7 +11,7 @@
 
 
 class EarlyReload:
-    """Remembers a SIGHUP until the event loop has a handler of its own."""
+    """Remembers a SIGHUP that arrives before the event loop has a handler for it."""
 
     def __init__(self) -> None:
         self.received = False
@@ -27,5 +27,5 @@
 
 
 def block_signals_at_exit() -> None:
-    """The loop takes its handlers along when it closes: until the process is gone, these signals wait."""
+    """Blocks signals until the process exits, since the event loop removes its handlers when it closes."""
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_AT_EXIT)
--- a/lifthead/node/start.py
+++ b/lifthead/node/start.py
@@ -1,4 +1,4 @@
-"""What a node is told: its configuration file to plain values, at the start and anew on SIGHUP."""
+"""Reads the configuration file of a node, at its start and again on SIGHUP."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,16 +11,15 @@
 from lifthead.node.discovery import EngineListUpdate, MalformedUpdateError, parse_update
 from lifthead.terms import Fields, MalformedError, deployment_of, flat, whole
 
-RESERVED_DESCRIPTORS = (
-    24  # descriptors for the program itself: its listener, discovery, the loop, the standard streams
-)
-# Part of the others that clients' connections may hold; engines' have the rest. Each client's open request
-# may need one of those, and probes and releases come besides: with half, clients could use up all.
+RESERVED_DESCRIPTORS = 24  # for the listening socket, discovery, the event loop and the standard streams
+# The share of the remaining descriptors for connections of clients; connections to engines get the rest. Each
+# open request of a client may need a connection to an engine, and probes and releases need some as well: with
+# a share of one half, clients could leave too few.
 CLIENT_SHARE = 0.45
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; says why."""
+    """The configuration is invalid; the message says why."""
 
 
 class _ConfigFile(msgspec.Struct):
@@ -35,21 +34,21 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """All that the node's parts are started with. Times are microseconds."""
+    """The parsed configuration of a node. Times are in microseconds."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     deployment: Deployment
     initial_list: EngineListUpdate | None
-    max_client_connections: int  # connections that clients may hold
-    max_engine_connections: int  # ... and those to engines
-    engine_idle_timeout: int  # an engine's end closes a connection that was idle for so long
-    connect_timeout: int
+    max_client_connections: int
+    max_engine_connections: int
+    engine_idle_timeout: int  # after which an engine closes an unused connection
+    connect_timeout: int  # for connections to engines
 
 
 def read_config(path: str) -> NodeConfig:
-    """The configuration at this path; StartError if it can't be used."""
+    """Reads the configuration file at this path; raises ConfigError if it is invalid."""
     try:
         with open(path, "rb") as file:
             return parse_config(file.read())
@@ -87,7 +86,7 @@
 
 
 def _parse_field(name: str, parse: Callable[[Any], Any], value: Any) -> Any:
-    """A field's meaning; StartError that names the field if it has none."""
+    """Parses a field; raises ConfigError with the field's name if its value is invalid."""
     try:
         return parse(value)
     except (ValueError, OverflowError, MalformedUpdateError) as error:
