--- a/tests/onenode.py
+++ b/tests/onenode.py
@@ -1,4 +1,4 @@
-"""A node's parts in one loop, with engines that speak the users' platform's protocol as a test tells them."""
+"""A node in the event loop of a test, with scripted engines that use the platform's protocol."""
 
 import asyncio
 import json
@@ -55,7 +55,7 @@
 
 
 STREAM = HEAD + chunk(EVENT) + chunk(EVENT + END) + b"0\r\n\r\n"
-CLOSE, HANG = "close", "hang"  # what an engine may do in place of its next bytes
+CLOSE, HANG = "close", "hang"  # script steps: close the connection, or stop answering
 
 
 def config(**changes):
@@ -78,8 +78,9 @@
 
 
 class Engine:
-    """Answers each req with the next of its scripts, the last one over and over: bytes, CLOSE, HANG, a number
-    of seconds or an event to wait for, or what is called with the connection. Writes down what came."""
+    """A scripted engine. Answers each request with its next script, and repeats the last one. The steps of a
+    script are bytes to send, CLOSE, HANG, seconds or an event to wait for, or a function that is called with
+    the connection's writer. Records the requests that arrive."""
 
     def __init__(self, *scripts):
         self.scripts, self.requests, self.connections, self.disconnects = (
@@ -130,7 +131,7 @@
 
 
 class Node(Listening):
-    """`engines`: an Engine by uid; those whose uid begins with rd read, the others write."""
+    """`engines`: by uid; those whose uid starts with rd are prefill engines, the others decode engines."""
 
     def __init__(
         self, first_request_timeout=0.5, max_client_connections=50, sockets=1024, settings=SETTINGS, **engines
@@ -169,7 +170,7 @@
 
 
 def run_with_node(scenario, **options):
-    """What `play` gives back, of a node of its own with these engines and bounds."""
+    """Runs `scenario` with a new node that has these engines and limits, and returns its result."""
 
     async def run():
         async with Node(**options) as node:
@@ -187,7 +188,7 @@
     path=clients.CHAT_PATH,
     **headers,
 ):
-    """A client's message. A header given as None is left out."""
+    """Encodes a chat request of a client. A header given as None is left out."""
     if body is None:
         content = "x" * (4 * prompt)
         body = json.dumps(
@@ -225,7 +226,7 @@
         await self.writer.drain()
 
     async def answer(self, within=6.0):
-        """Status, headers, body and whether it came to its end."""
+        """Returns the status, the headers, the body and whether the answer is complete."""
         async with asyncio.timeout(within):
             head = (await self.reader.readuntil(b"\r\n\r\n")).decode()
             fields = dict(line.lower().split(": ", 1) for line in head.split("\r\n")[1:] if line)
@@ -241,7 +242,7 @@
             return status, fields, body, True
 
     async def closed(self, within=3.0):
-        """Whether the node closes the connection, whatever it sends before."""
+        """Returns whether the node closes the connection, whatever it sends before."""
         try:
             async with asyncio.timeout(within):
                 await self.reader.read(-1)
--- a/tests/program.py
+++ b/tests/program.py
@@ -1,4 +1,4 @@
-"""The node as a program, beside stand-ins of engines and of discovery in the test's own loop."""
+"""The node as a process, with stand-ins for engines and discovery in the event loop of the test."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 
 
 def start_process(path, listen, discovery, max_descriptors=1024, cores=(), **more):
-    """A process of its own, with so many descriptors at most and on these cores only."""
+    """Starts a node process with a limit on descriptors, on these cores only."""
     config_document = config(listen=listen, discovery=discovery, limits={"sockets": max_descriptors}, **more)
     path.write_text(json.dumps(config_document))
 
@@ -37,7 +37,7 @@
 
 
 class NodeProcess:
-    """The node as a process that is ready, these engines listed."""
+    """A node process that is ready and knows these engines."""
 
     def __init__(self, path, **engines):
         self._path, self.engines = path, engines
@@ -62,7 +62,7 @@
             server.close()
 
     async def exited(self, within):
-        """Its exit code, and the seconds that it took; TimeoutError if it is still there then."""
+        """Returns the exit code and the seconds until the exit; raises TimeoutError if it takes longer."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         async with asyncio.timeout(within):
@@ -82,7 +82,7 @@
 
 
 async def wait_until_ready(listen, within):
-    """Seconds until it says that it is."""
+    """Waits until the node reports that it is ready, and returns the seconds that took."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     async with asyncio.timeout(within):
@@ -96,7 +96,7 @@
 
 
 class DiscoveryServer:
-    """One list for all; `down` resets what is open and refuses what comes."""
+    """Sends one list to all callers. `down` resets open connections and refuses new ones."""
 
     def __init__(self):
         self.address, self.targets, self.rev, self.open = free_address(), [], 0, set()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,6 @@
-"""The instants in which something ends while something is still owed: each is forced by a stand-in that
-holds, writes, shuts or resets at a known point, on loopback sockets. docs/crossings.md lists them by path."""
+"""Races at the end of requests, connections, processes and watches: something ends while a reply or a release
+is still due. Scripted stand-ins on loopback sockets force each race by waiting, writing, closing or resetting
+at a known point. docs/crossings.md lists the races by code path."""
 
 import asyncio
 import copy
@@ -42,13 +43,14 @@
 from lifthead.node.discovery import Watch
 from lifthead.node.serve import ACCEPT_REQUESTS_FOR, open_listening_socket
 
-SIGKILL_AFTER = 3.7  # seconds after SIGTERM at the soonest
-MAX_EVENT_DELAY = 0.3  # seconds for an event from its engine to its client
+SIGKILL_AFTER = 3.7  # seconds after SIGTERM, at the earliest
+MAX_EVENT_DELAY = 0.3  # seconds from an event's arrival from its engine to its arrival at the client
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 def idempotency_key_settings(within, window):
-    """Settings whose class `ask` carries an idempotency key for so many microseconds."""
+    """Returns settings whose class `ask` has idempotency keys, which engines remember for `window`
+    microseconds."""
     settings = copy.deepcopy(SETTINGS)
     settings["Grades"][0] |= {"Effect": "keyed", "Group": within, "KeyTtl": window}
     return settings
@@ -67,9 +69,9 @@
     return asyncio.run(run())
 
 
-# SIGTERM against a request.
+# SIGTERM during a request.
 
-STAGES = {  # where its request is when the signal comes: the engines' scripts, holding at that point
+STAGES = {  # where the request is at the signal, with engine scripts that wait there for the gate
     "at the prefill engine": lambda gate: ([gate, PREFILLED], [STREAM]),
     "before its first event": lambda gate: ([PREFILLED], [gate, STREAM]),
     "between two events": lambda gate: (
@@ -91,7 +93,7 @@
 
 @pytest.mark.parametrize("at", STAGES)
 @pytest.mark.parametrize("signals", SIGNALS)
-def test_a_request_in_hand_at_the_signal_is_served_to_its_last_chunk(at, signals, tmp_path):
+def test_a_request_in_progress_at_the_signal_is_served_to_its_last_chunk(at, signals, tmp_path):
     async def scenario(node):
         async with Client(node.listen) as client:
             await client.send(chat(5000))
@@ -101,24 +103,24 @@
                     await asyncio.sleep(0.005)
             for number in signals:
                 node.process.send_signal(number)
-            await asyncio.sleep(0.7)  # past the closing of the listener and of idle connections
+            await asyncio.sleep(0.7)  # until the listener and idle connections are closed
             gate.set()
             answer = await client.answer()
         return answer[0], answer[2], answer[3], await node.exited(SIGKILL_AFTER - 0.7)
 
     gate = asyncio.Event()
     rd, wr = map(Engine, STAGES[at](gate))
-    status, body, whole, (code, took) = run_with_process(scenario, tmp_path, rd=rd, wr=wr)
-    assert (status, body, whole, code) == (200, EVENT + EVENT + END, True, 0)
+    status, body, whole, (exit_code, took) = run_with_process(scenario, tmp_path, rd=rd, wr=wr)
+    assert (status, body, whole, exit_code) == (200, EVENT + EVENT + END, True, 0)
     assert took < 1.5 and len(wr.lines("POST")) == 1 and not wr.lines("DELETE")
-    # The state's time is over while the call has brought nothing: one release, which an engine where the call
-    # has arrived takes for nothing. At no other point is there anything to release.
+    # Only before the first event does the lease end with the held state not fetched, which takes one release.
+    # It has no effect where the decode call has already arrived.
     assert len(rd.lines("DELETE")) == (at == "before its first event")
 
 
 @pytest.mark.parametrize("sent", [0, 1, 40, -1])
-def test_a_request_that_has_come_in_part_at_the_signal_is_answered_if_it_is_whole_soon(sent, tmp_path):
-    """Accepted without a byte, with one, half a head, all but the last byte."""
+def test_a_partial_request_at_the_signal_is_answered_if_it_is_complete_soon(sent, tmp_path):
+    """The node has received nothing, one byte, a part of the head, or all but the last byte."""
 
     async def scenario(node):
         async with Client(node.listen) as client:
@@ -135,9 +137,9 @@
 
 
 @pytest.mark.parametrize("resting", [False, True])
-def test_what_the_system_holds_unread_when_all_closes_is_answered(resting, tmp_path):
-    """The process gets no turn while the request comes and its time to close goes by: not accepted yet, or
-    unread on a connection that rests."""
+def test_unread_requests_in_the_kernel_at_the_close_are_answered(resting, tmp_path):
+    """The process is stopped while a request arrives and the time to close passes. The request is on a
+    connection that is not accepted yet, or unread on an idle one."""
 
     async def scenario(node):
         async with Client(node.listen) as client:
@@ -157,8 +159,8 @@
     assert run_with_process(scenario, tmp_path, wr=Engine()) == (200, True, 0)
 
 
-def test_what_comes_after_the_last_time_to_answer_it_for_sure_is_refused_and_not_sent_on(tmp_path):
-    """SIGKILL may come 3.7 s after SIGTERM: what is taken late, at engines that hang, would be lost then."""
+def test_a_request_too_late_to_be_answered_is_rejected_and_not_sent_to_an_engine(tmp_path):
+    """SIGKILL may come 3.7 s after SIGTERM; a late request at an engine that hangs would be lost then."""
 
     async def scenario(node):
         async with Client(node.listen) as client:
@@ -171,25 +173,25 @@
         return answer[0], await node.exited(SIGKILL_AFTER - ACCEPT_REQUESTS_FOR - 0.3)
 
     wr = Engine([HANG])
-    status, (code, _) = run_with_process(scenario, tmp_path, wr=wr)
-    assert (status, code) == (503, 0) and not wr.requests
+    status, (exit_code, _) = run_with_process(scenario, tmp_path, wr=wr)
+    assert (status, exit_code) == (503, 0) and not wr.requests
 
 
-def test_a_connection_that_says_nothing_does_not_stay_open_for_a_request_too_late(tmp_path):
-    """Clients send on every connection that stays open, up to SIGKILL."""
+def test_a_silent_connection_is_closed_before_a_request_would_be_too_late(tmp_path):
+    """Clients may send on any open connection until SIGKILL."""
 
     async def scenario(node):
         async with Client(node.listen) as client:
             node.process.send_signal(signal.SIGTERM)
             return await client.closed(ACCEPT_REQUESTS_FOR + 0.2), await node.exited(1.0)
 
-    closed, (code, _) = run_with_process(scenario, tmp_path, wr=Engine())
-    assert closed and code == 0
+    closed, (exit_code, _) = run_with_process(scenario, tmp_path, wr=Engine())
+    assert closed and exit_code == 0
 
 
 @pytest.mark.parametrize("shut_after", [0.0, 5.0])
-def test_requests_behind_the_one_in_hand_at_the_stop_are_answered(shut_after):
-    """Read by then: served, or refused if it is too late for that."""
+def test_pipelined_requests_at_the_stop_are_answered(shut_after):
+    """They have been read already; they are served, or rejected if it is too late to serve them."""
 
     async def scenario(node):
         async with Client(node.address) as client:
@@ -209,7 +211,7 @@
     assert len(wr.requests) == (4 if shut_after else 1)
 
 
-def test_those_that_wait_to_be_accepted_while_all_places_are_taken_are_served_after_a_stop():
+def test_clients_that_wait_for_a_connection_at_the_limit_are_served_after_a_stop():
     async def scenario(node):
         listening_socket = open_listening_socket(("127.0.0.1", 0))
         address = "{}:{}".format(*listening_socket.getsockname())
@@ -231,10 +233,10 @@
     assert run_with_node(scenario, wr=wr, max_client_connections=3) == [200] * 5
 
 
-# Exit against what is held, and against an answer that is on its way out.
+# Exit while state is held or an answer is not delivered.
 
 
-def test_no_exit_before_a_state_is_let_go(tmp_path):
+def test_no_exit_before_a_held_state_is_released(tmp_path):
     async def scenario(node):
         async with Client(node.listen) as client:
             await client.send(chat(5000, budget_ms="900"))
@@ -243,20 +245,20 @@
                     await asyncio.sleep(0.005)
             node.process.send_signal(signal.SIGTERM)
             status = (await client.answer())[0]
-        code, _ = await node.exited(SIGKILL_AFTER)
-        return status, code, len(rd.lines("DELETE"))
+        exit_code, _ = await node.exited(SIGKILL_AFTER)
+        return status, exit_code, len(rd.lines("DELETE"))
 
     rd = Engine([HANG])
-    status, code, released = run_with_process(scenario, tmp_path, rd=rd, wr=Engine())
-    assert status in (503, 504) and code == 0
-    assert 2 <= released <= 3  # the first may have come before the engine was done: it proves nothing
+    status, exit_code, released = run_with_process(scenario, tmp_path, rd=rd, wr=Engine())
+    assert status in (503, 504) and exit_code == 0
+    assert 2 <= released <= 3  # the first may precede the engine's end of the prefill and prove nothing
 
 
 EVENT_BLOCK = EVENT * 800
 
 
 async def slow_client(address, data):
-    """One whose system takes little that it has not read itself."""
+    """Connects a client with a small receive buffer."""
     host, _, port = address.rpartition(":")
     raw = socket.socket()
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16_384)
@@ -267,7 +269,7 @@
     return reader, writer
 
 
-def test_no_exit_before_a_client_that_takes_nothing_for_a_while_has_its_answer(tmp_path):
+def test_no_exit_before_a_client_that_pauses_has_its_answer(tmp_path):
     async def scenario(node):
         reader, writer = await slow_client(node.listen, chat(100))
         async with asyncio.timeout(5):
@@ -285,9 +287,9 @@
     assert run_with_process(scenario, tmp_path, wr=wr) == (True, 800 * 60, 0)
 
 
-def test_a_client_that_takes_a_little_at_a_time_is_not_cut():
-    """The system tells of room only once a third of its own buffer is free, which may take such a client far
-    longer than one that takes nothing is waited for."""
+def test_a_client_that_reads_slowly_is_not_cut():
+    """The kernel reports room only once a third of its send buffer is free. With such a client that may take
+    far longer than the time after which a client that reads nothing is cut."""
 
     async def scenario(node):
         reader, writer = await slow_client(node.address, chat(100))
@@ -304,11 +306,11 @@
     assert run_with_node(scenario, wr=wr) == (True, 800 * 45)
 
 
-# A close of ours against arriving bytes.
+# A close by the node while bytes arrive.
 
 
 class ReadRecorder:
-    """Tells what the loop has read from the system of all connections."""
+    """Records what the event loop reads from all connections."""
 
     def __init__(self, monkeypatch):
         self.read, feed = b"", asyncio.StreamReader.feed_data
@@ -329,8 +331,8 @@
 
 @pytest.mark.parametrize("end", WAYS_TO_CLOSE)
 @pytest.mark.parametrize("turns", range(7))
-def test_a_request_in_the_instant_of_a_close_is_answered_or_not_read(end, turns, monkeypatch):
-    """So many turns of the loop after the end of the reading was asked for."""
+def test_a_request_at_the_moment_of_a_close_is_answered_or_not_read(end, turns, monkeypatch):
+    """The request arrives this many turns of the event loop after the close was requested."""
 
     async def scenario(node):
         async with Client(node.address) as client:
@@ -354,12 +356,14 @@
     assert answered == (200 if read else 0) and len(wr.requests) == (answered == 200)
 
 
-@pytest.mark.parametrize("much", [10, 3_000_000])
-@pytest.mark.parametrize("bad", [{"request_class": "none"}, {"Content_Length": "-5"}])
-def test_an_error_is_not_lost_to_a_reset_however_much_came_behind_it(bad, much):
+@pytest.mark.parametrize("surplus_bytes", [10, 3_000_000])
+@pytest.mark.parametrize("malformed", [{"request_class": "none"}, {"Content_Length": "-5"}])
+def test_an_error_answer_is_not_lost_to_a_reset_however_much_data_follows_the_request(
+    malformed, surplus_bytes
+):
     async def scenario(node):
         async with Client(node.address) as client:
-            client.writer.write(chat(**bad) + b"x" * much)
+            client.writer.write(chat(**malformed) + b"x" * surplus_bytes)
             await asyncio.sleep(0.1)
             return (await client.answer())[0], await client.closed(2.0)
 
@@ -368,10 +372,11 @@
 
 @pytest.mark.parametrize("how", ["shut", "reset"])
 @pytest.mark.parametrize("request_class", ["ask", "pay"])
-def test_a_kept_connection_that_its_engine_ends_as_an_attempt_is_written_costs_no_request(
+def test_a_reused_connection_that_its_engine_ends_as_an_attempt_is_written_fails_no_request(
     how, request_class, monkeypatch
 ):
-    """The end is in the system, where the loop has not looked. It is proven unsent, or it may have run."""
+    """The end is in the kernel, where the event loop has not polled. Either the attempt is proven unsent or
+    it may have run."""
 
     class Ends(Engine):
         async def connection(self, reader, writer):
@@ -390,7 +395,7 @@
         if armed and connection.uses:
             armed.clear()
             for each in sockets:
-                if how == "reset":  # closed at once, where the transport would close it a turn later
+                if how == "reset":  # the transport itself would close it a turn of the loop later
                     each.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     with open(os.devnull) as nothing:
                         os.dup2(nothing.fileno(), each.fileno())
@@ -405,22 +410,22 @@
     assert came.count("t1") == 1
 
 
-# Deadlines in the same turn as what they cross.
+# Events in the same turn of the event loop as a deadline.
 
-RELEASE_WAIT = 0.6  # seconds in which a state that may be held has to be released
-LOOP_BUSY_FOR = 0.3  # seconds that the loop is at other work, over the client's time
+RELEASE_WAIT = 0.6  # seconds within which a state that may be held must be released
+LOOP_BUSY_FOR = 0.3  # seconds for which the event loop is busy, past the client's deadline
 
 
 @pytest.mark.parametrize("answer", [PREFILLED, HEAD + chunk(EVENT), STREAM, REFUSED_NOT_RUN])
 @pytest.mark.parametrize("prompt", [100, 5000])
-def test_an_engines_word_in_the_turn_of_the_deadline_gives_one_final_answer(answer, prompt):
-    """Both are there when the loop looks again: what was held is released, and nothing more is sent."""
+def test_an_engines_answer_in_the_turn_of_the_deadline_gives_one_final_answer(answer, prompt):
+    """Both are pending when the event loop polls again. Held state is released and nothing more is sent."""
 
     async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(prompt, budget_ms="300"))
             await node.until(lambda: rd.requests or wr.requests)
-            writers[-1].write(answer)  # the loop writes at once, and is busy until the deadline is past
+            writers[-1].write(answer)  # the loop writes at once, then is busy until after the deadline
             time.sleep(LOOP_BUSY_FOR)
             status, *_ = await client.answer()
             sent = len(rd.lines("POST") + wr.lines("POST"))
@@ -444,9 +449,9 @@
     assert 2 <= released <= 3 if prompt == 5000 else released == 0
 
 
-def test_a_read_that_ends_as_it_is_given_up_leaves_nothing_behind():
-    """Its engine sees the end of the connection some milliseconds later, the read done: what overtook it
-    released nothing."""
+def test_a_prefill_that_ends_as_it_is_abandoned_leaves_no_held_state():
+    """The engine notices the close some milliseconds later, when the prefill is done. A release that arrived
+    before released nothing."""
 
     class FinishesPrefillLate(Engine):
         held = False
@@ -476,8 +481,8 @@
     assert 2 <= len(rd.lines("DELETE")) <= 3
 
 
-def test_a_state_that_a_broken_read_may_have_left_is_not_held_while_connections_do_not_come_up(monkeypatch):
-    """The read was done when its connection broke, and the next attempts never reach an engine."""
+def test_a_state_that_a_broken_prefill_may_have_left_is_released_while_connections_fail(monkeypatch):
+    """The prefill was done when its connection broke, and the next attempts never reach an engine."""
 
     async def scenario(node):
         async with Client(node.address) as client:
@@ -506,7 +511,7 @@
     assert run_with_node(scenario, rd1=one, rd2=two, rd3=Engine([reset, CLOSE]), wr=Engine()) < 0.3 + 0.25
 
 
-def test_a_connection_that_comes_up_in_the_turn_of_the_deadline_brings_no_attempt(monkeypatch):
+def test_a_connection_that_opens_in_the_turn_of_the_deadline_carries_no_attempt(monkeypatch):
     async def scenario(node):
         status, *_ = await exchange(node.address, chat(100, budget_ms="300"))
         await asyncio.sleep(0.3)
@@ -527,7 +532,7 @@
 
 @pytest.mark.parametrize("behind", [b"", STREAM, REFUSED_NOT_RUN, b"noise\r\n\r\n"])
 def test_a_late_second_answer_reaches_nobody(behind):
-    """It comes some milliseconds behind the first, on a connection that may be in use again."""
+    """It arrives some milliseconds after the first one, on a connection that may already be reused."""
 
     async def scenario(node):
         bodies = []
@@ -542,8 +547,8 @@
     assert run_with_node(scenario, wr=wr) == [EVENT + EVENT + END] * 4
 
 
-def test_what_an_attempt_tells_its_engine_is_no_more_than_what_is_left_to_the_client():
-    """A further attempt, and a request that waited behind another one of its connection."""
+def test_an_attempt_announces_no_more_time_than_the_client_has_left():
+    """For a further attempt, and for a request that waited behind another one on its connection."""
 
     async def scenario(node):
         async with Client(node.address) as client:
@@ -564,11 +569,11 @@
     assert first <= 2000 and len(later) >= 1 and max(later) <= 1520
 
 
-# A client's leaving, where the module itself lets its request wait.
+# A client's disconnect while its request waits for probes.
 
 
 @pytest.mark.parametrize("leave", ["close", "reset", "shut"])
-def test_a_request_whose_client_left_while_engines_are_asked_for_their_load_is_not_begun(leave):
+def test_a_request_whose_client_left_during_probes_is_not_started(leave):
     settings = copy.deepcopy(SETTINGS)
     settings["PolicyLimits"]["Probes"] = True
 
@@ -593,8 +598,8 @@
 # Streams.
 
 
-def test_each_event_leaves_when_it_came_wherever_it_is_split():
-    """A byte of the next one is there already, or all but its last: that holds nothing back."""
+def test_each_event_is_passed_on_at_once_however_the_stream_is_split():
+    """One byte of the next event, or all but its last, delays no complete event."""
 
     async def scenario(node):
         lags = []
@@ -626,8 +631,8 @@
     assert run_with_node(scenario, wr=Engine(script + [chunk(END) + LAST_CHUNK])) < MAX_EVENT_DELAY / 3
 
 
-def test_events_leave_in_time_while_the_loop_is_under_load():
-    """Forty streams at once, their engines in the same loop, and other work in slices of 20 ms."""
+def test_events_are_passed_on_in_time_while_the_event_loop_is_under_load():
+    """There are forty streams at once, engines in the same event loop, and other work in slices of 20 ms."""
     stamp = 'data: {{"choices":[{{"index":0,"delta":{{"content":"{:.6f}"}},"finish_reason":null}}]}}\n\n'
 
     def written(writer):
@@ -660,10 +665,10 @@
     assert len(lags) == 800 and max(lags) < MAX_EVENT_DELAY
 
 
-def test_a_slow_client_holds_back_no_other_stream():
+def test_a_slow_client_delays_no_other_stream():
     async def scenario(node):
         _, writer = await slow_client(node.address, chat(100, trace="slow"))
-        await node.until(lambda: big.requests)
+        await node.until(lambda: big_stream.requests)
         await asyncio.sleep(0.3)
         took = []
         for n in range(5):
@@ -673,8 +678,8 @@
         writer.close()
         return max(took)
 
-    big = Engine([HEAD, *[chunk(EVENT * 800)] * 100, chunk(END) + LAST_CHUNK], [STREAM])
-    assert run_with_node(scenario, wr=big, rd=Engine([PREFILLED])) < MAX_EVENT_DELAY
+    big_stream = Engine([HEAD, *[chunk(EVENT * 800)] * 100, chunk(END) + LAST_CHUNK], [STREAM])
+    assert run_with_node(scenario, wr=big_stream, rd=Engine([PREFILLED])) < MAX_EVENT_DELAY
 
 
 @pytest.mark.parametrize(
@@ -682,8 +687,8 @@
     [[CLOSE], [reset, CLOSE], [LAST_CHUNK], [chunk(END[:-14]) + LAST_CHUNK], [chunk(EVENT[:20]), CLOSE],
      [chunk(EVENT[:20]) + LAST_CHUNK], [chunk(END), CLOSE], [b"5\r\nabc"], [HANG]],
 )  # fmt: skip
-def test_a_stream_that_is_not_whole_gets_no_last_chunk_and_is_not_begun_again(end):
-    """No `[DONE]`, no last chunk, half a line, a close, a reset, silence."""
+def test_an_incomplete_stream_gets_no_last_chunk_and_is_not_restarted(end):
+    """It lacks `[DONE]` or the last chunk, or ends in half a line, a close, a reset or silence."""
 
     async def scenario(node):
         status, _, body, whole = await exchange(node.address, chat(100))
@@ -694,13 +699,13 @@
     assert len(wr.lines("POST")) == 1
 
 
-# Repeats.
+# Repeated attempts.
 
 
 @pytest.mark.parametrize("within", ["all", "zone"])
 @pytest.mark.parametrize(("slow", "attempts"), [(0.0, 2), (0.6, 1)])
-def test_no_repeat_is_sent_once_its_keys_window_is_over(within, slow, attempts, monkeypatch):
-    """The window is open when the next attempt is decided, and closes while its connection comes up."""
+def test_no_attempt_is_repeated_once_the_window_of_its_key_is_over(within, slow, attempts, monkeypatch):
+    """The window is open when the next attempt is decided on, and closes while its connection opens."""
 
     async def scenario(node):
         return (await exchange(node.address, chat(100)))[0]
@@ -741,7 +746,7 @@
 # The list of engines.
 
 
-def test_an_engine_that_drains_while_a_connection_to_it_comes_up_gets_nothing(monkeypatch):
+def test_an_engine_that_starts_to_drain_while_a_connection_to_it_opens_gets_nothing(monkeypatch):
     async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(100))
@@ -766,7 +771,7 @@
 
 
 class DelayedDiscoveryServer(DiscoveryServer):
-    """Holds its first word until it is let, then tells this list."""
+    """Sends its list only once the gate is open."""
 
     def __init__(self, gate):
         super().__init__()
@@ -777,8 +782,9 @@
         await super().serve(reader, writer)
 
 
-def test_a_new_process_sends_nothing_by_a_list_that_its_agent_knows_better(tmp_path):
-    """What the agent has counts as told from the first moment; what the configuration lists may be old."""
+def test_a_new_process_sends_nothing_by_an_outdated_list_of_its_configuration(tmp_path):
+    """The list of the discovery agent applies from the start; the list of the configuration may be
+    outdated."""
 
     async def scenario():
         old, new, gate = Engine(), Engine(), asyncio.Event()
@@ -810,7 +816,7 @@
     assert asyncio.run(scenario()) == ([503] * 4, 200, 0)
 
 
-def test_a_new_process_that_finds_no_discovery_serves_by_the_list_it_was_given(tmp_path):
+def test_a_new_process_without_discovery_serves_by_the_list_of_its_configuration(tmp_path):
     async def scenario():
         wr, listen = Engine(), free_address()
         server = await asyncio.start_server(wr.connection, "127.0.0.1", 0)
@@ -834,7 +840,7 @@
 
 
 def run_watch(handlers, turn=False):
-    """Versions heard from these, each one's connection after the other's, in order."""
+    """Returns what a watch receives from these handlers, one per call, and the versions that it asks from."""
 
     async def scenario():
         calls, received, paths = [], [], []
@@ -889,19 +895,20 @@
 
 
 @pytest.mark.parametrize("first", [half_an_object, half_an_object_and_a_reset])
-def test_an_object_that_its_watch_ends_half_through_is_asked_for_again(first):
-    """What comes in the gap between two watches is told by the next, which asks from the version in hand."""
+def test_an_update_that_the_end_of_a_call_cuts_is_requested_again(first):
+    """The next call asks from the current version, so it also brings changes from the gap between the
+    calls."""
     received, paths = run_watch([first, final_update])
     assert received == [(43, 1), (99, 0)] and paths == ["41", "43"]
 
 
-def test_a_whole_list_in_place_of_changes_is_taken():
+def test_a_snapshot_in_place_of_changes_is_applied():
     received, paths = run_watch([a_whole_list_in_place_of_changes, final_update])
     assert received == [(43, 1), (44, 1), (99, 0)] and paths == ["41", "44"]
 
 
-def test_news_still_buffered_from_the_address_that_was_left_are_not_taken():
-    """The agent behind it may be further back than the new one's."""
+def test_buffered_updates_from_an_old_address_are_not_applied():
+    """The agent at the old address may have an older list than the one at the new address."""
 
     async def scenario():
         received, gate = [], asyncio.Event()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients may use up all descriptors that they can get while discovery is down."""
+"""Idle clients take as many descriptors as they can get while discovery is down."""
 
 import asyncio
 import contextlib
@@ -42,7 +42,7 @@
 
 
 async def hold_idle_connection(listen):
-    """Connects, asks once, and keeps the connection until the other end closes it; then again."""
+    """Connects, sends one request and keeps the connection until the node closes it. Repeats this."""
     while True:
         with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError, IndexError):
             async with Client(listen) as client:
@@ -52,10 +52,10 @@
         await asyncio.sleep(0.01)
 
 
-def test_idle_clients_use_up_what_they_can_while_discovery_is_down(tmp_path):
+def test_idle_clients_do_not_keep_the_node_from_discovery_and_engines(tmp_path):
     async def scenario():
-        long = [HEAD + chunk(EVENT), *[0.25, chunk(EVENT)] * 24, chunk(END) + b"0\r\n\r\n"]
-        old, new, discovery, listen = Engine(long), Engine([STREAM]), DiscoveryServer(), free_address()
+        long_stream = [HEAD + chunk(EVENT), *[0.25, chunk(EVENT)] * 24, chunk(END) + b"0\r\n\r\n"]
+        old, new, discovery, listen = Engine(long_stream), Engine([STREAM]), DiscoveryServer(), free_address()
         servers = [await asyncio.start_server(engine.connection, "127.0.0.1", 0) for engine in (old, new)]
         at = ["{}:{}".format(*server.sockets[0].getsockname()) for server in servers]
         await discovery.up(target("wr", at[0]))
@@ -74,7 +74,7 @@
                 await asyncio.sleep(2.0)
                 before = processor_seconds(process)
                 await asyncio.sleep(2.0)
-                used = (processor_seconds(process) - before) / 2.0
+                processor_share = (processor_seconds(process) - before) / 2.0
                 open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
                 await discovery.up(target("wr", at[0], "draining"), target("wr2", at[1]))
                 began, requests_sent = asyncio.get_running_loop().time(), 0
@@ -92,16 +92,16 @@
             alive = process.poll() is None
         for server in servers:
             server.close()
-        return [(status, whole) for status, _, _, whole in answers], used, open_descriptors, alive
+        return [(status, whole) for status, _, _, whole in answers], processor_share, open_descriptors, alive
 
-    answers, used, open_descriptors, alive = asyncio.run(scenario())
-    assert answers == [(200, True)] * 5  # none of them was shed
-    assert alive and used < 0.5 and open_descriptors <= MAX_DESCRIPTORS
+    answers, processor_share, open_descriptors, alive = asyncio.run(scenario())
+    assert answers == [(200, True)] * 5  # none of them was closed to make room
+    assert alive and processor_share < 0.5 and open_descriptors <= MAX_DESCRIPTORS
 
 
 @pytest.mark.parametrize("sockets", [64, 256, 1024])
-def test_an_open_request_always_finds_a_descriptor_for_its_engine(sockets):
-    """Idle clients and open requests together can't take what the attempts of all of them may need."""
+def test_an_open_request_always_has_a_descriptor_for_its_engine(sockets):
+    """Clients can't take the descriptors that the attempts of all their requests may need."""
     node_config = start.parse_config(json.dumps(config(limits={"sockets": sockets})).encode())
     assert (
         2 * node_config.max_client_connections + start.RESERVED_DESCRIPTORS < sockets
@@ -109,8 +109,8 @@
     )
 
 
-def test_what_gives_way_has_no_unread_bytes_and_no_answer_on_its_way():
-    """A connection that only seems idle: its bytes wait in the system, where the loop has not looked yet."""
+def test_a_connection_with_unread_bytes_is_not_closed_to_make_room():
+    """The connection seems idle, but its bytes are in the kernel, where the event loop has not polled yet."""
 
     async def scenario(node):
         async with Client(node.address) as unread, Client(node.address) as idle:
@@ -125,8 +125,8 @@
     assert run_with_node(scenario, wr=Engine()) == (True, False, True, 200)
 
 
-def test_what_had_come_on_a_resting_connection_by_the_stop_is_answered_and_nothing_is_read_later():
-    """The reading of a resting connection ended with its bytes in hand, and they were never answered."""
+def test_requests_that_arrived_on_idle_connections_before_a_stop_are_answered_and_no_later_ones():
+    """Guards against a stop that drops the bytes which an idle connection has already received."""
 
     async def scenario(node):
         async with Client(node.address) as early, Client(node.address) as late:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,5 +1,5 @@
-"""A change of the list counts as told 6 s after discovery had it and could be reached, whatever became of
-earlier calls. So from any state that a call may be left in, the way back to a current list is shorter."""
+"""A change of the list must be applied within 6 s of discovery having it and being reachable, whatever
+happened to earlier calls. So the watch must recover faster from any state that a call may be stuck in."""
 
 import asyncio
 import contextlib
@@ -14,8 +14,8 @@
 from lifthead.node import discovery
 from lifthead.node.discovery import Watch
 
-UPDATE_DEADLINE = 6.0  # seconds, as the platform's operators say
-RECOVERY_BOUND = 4.2  # ... and what is asserted: a margin of nearly a third
+UPDATE_DEADLINE = 6.0  # seconds, required by the platform
+RECOVERY_BOUND = 4.2  # seconds that the tests allow: a margin of nearly a third
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
 OLD, NEW = (list_update(target("rd", "127.0.0.1:1"), rev=rev) + b"\n" for rev in (43, 44))
 
@@ -122,7 +122,7 @@
 
 
 async def recovery_time(state):
-    """Seconds from discovery's return, a moment after a last bad call has begun, to its list in hand."""
+    """Returns the seconds from the recovery of discovery, just after one more failing call, to its list."""
     loop, is_bad, calls, received = asyncio.get_running_loop(), True, 0, asyncio.Event()
     recovers_at = 0.0
 
@@ -141,7 +141,7 @@
                 await reader.read()
         writer.close()
 
-    count = 8 if state in SHORT_CALLS else 1  # so that pauses have grown as long as they get
+    count = 8 if state in SHORT_CALLS else 1  # so that the pauses reach their maximum
     listening = socket.socket()
     listening.bind(("127.0.0.1", 0))
     watch = Watch(
@@ -169,12 +169,12 @@
 
 
 @pytest.mark.parametrize("state", CALL_STATES)
-def test_the_way_back_to_a_current_list_is_bounded_from_any_state(recovery_times, state):
+def test_the_recovery_time_is_bounded_from_any_state(recovery_times, state):
     assert 0 <= recovery_times[state] < RECOVERY_BOUND < UPDATE_DEADLINE
 
 
-def test_the_longest_way_back_follows_from_the_figures():
-    """What a stuck call may take, then the longest pause, then a connection: whatever is changed in them."""
+def test_the_timeouts_add_up_to_less_than_the_bound():
+    """The slowest recovery is from a hanging call: its timeout, the longest pause and the connect timeout."""
     assert (
         discovery.SILENCE_TIMEOUT + max(discovery.MAX_RETRY_PAUSES) + discovery.CONNECT_TIMEOUT
         < RECOVERY_BOUND
@@ -182,7 +182,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """A loop on a clock of its own, which jumps to the next timer where nothing else is to be done."""
+    """An event loop with a virtual clock, which jumps to the next timer when there is nothing else to do."""
 
     def __init__(self):
         super().__init__()
@@ -199,7 +199,7 @@
 
 
 def run_watches(monkeypatch, watch_once, count, seconds, shared=False):
-    """So many followers on one jumping clock for so long, `watch` standing in for their calls."""
+    """Runs `count` watches on one virtual clock for so many seconds; `watch_once` replaces their calls."""
 
     async def scenario():
         watches = [Watch(("127.0.0.1", 1), 0, lambda update: None, seed, shared) for seed in range(count)]
@@ -213,8 +213,8 @@
         runner.run(scenario())
 
 
-def test_processes_that_lost_discovery_in_one_instant_do_not_ask_in_one_for_ever(monkeypatch):
-    """Without chance in the pauses, all of a fleet's calls fall into the same instants from then on."""
+def test_processes_that_lost_discovery_together_do_not_retry_together(monkeypatch):
+    """Without random pauses all calls of a fleet would come at the same moments from then on."""
     calls, count = [], 200
 
     async def refused(self, address):
@@ -223,14 +223,14 @@
 
     run_watches(monkeypatch, refused, count, 5.0)
     late = Counter(int(at * 50) for at in calls if at >= 2.0)
-    assert max(late.values()) < count / 5 and len(late) == 150  # of 20 ms each: none is empty, none is full
-    assert len([at for at in calls if at >= 4.0]) < count * 10  # and it is no flood
+    assert max(late.values()) < count / 5 and len(late) == 150  # none of the 20 ms slots is empty or crowded
+    assert len([at for at in calls if at >= 4.0]) < count * 10  # the total rate is moderate, too
 
 
 @pytest.mark.parametrize("count", [24, 200])
-def test_a_shared_discovery_that_turns_calls_away_is_left_to_answer(count, monkeypatch):
-    """A call that is turned away costs it as much as another. It takes one from each process in 4.5 s, and
-    while it is behind by 2 s it turns away: calls that come again at once kept most out for a whole day."""
+def test_a_shared_discovery_service_that_refuses_calls_can_recover(count, monkeypatch):
+    """A refused call costs the service as much as any other. It can take one call from each process in 4.5 s
+    and refuses calls while its backlog is over 2 s. Immediate retries kept most processes out for ever."""
     answered, backlog, cost = {}, [0.0, 0.0], 4.5 / count
 
     async def watched(self, address):
@@ -245,8 +245,8 @@
     assert len(answered) == count and discovery.REFUSED_PAUSE[1] < UPDATE_DEADLINE - discovery.CONNECT_TIMEOUT
 
 
-def test_an_odd_entry_costs_only_itself_whatever_its_address():
-    """A port past the last one broke off the task that connects, and with it the process."""
+def test_an_entry_with_a_malformed_address_does_not_affect_the_others():
+    """Guards against a port number out of range that ends the connecting task and with it the process."""
     addresses = ["1.2.3.4:70000", "x" * 70 + ":1", "a b:1", "[::1]:5", ":4"]
     targets = [target(f"e{n}", at) for n, at in enumerate(addresses)] + [target("wr", "a:1")]
     update = discovery.parse_update(json.dumps({"rev": 1, "all": True, "targets": targets}).encode())
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,5 +1,5 @@
-"""No attempt begins more than 0.1 s after its client closed its connection or the end of its sending: the
-event loop's delay is part of that. What is out is called off, what is held is released."""
+"""No attempt starts more than 0.1 s, which includes delays of the event loop, after its client closed or shut
+down its connection. An attempt in flight is cancelled and held state is released."""
 
 import asyncio
 import socket
@@ -24,11 +24,11 @@
 
 
 LEAVES = pytest.mark.parametrize("leave", [close, end_sending, reset])
-DELAY = 0.25  # seconds that something takes while the client goes
+DELAY = 0.25  # seconds that a step takes while the client disconnects
 
 
 @LEAVES
-def test_a_first_attempt_that_waits_for_its_connection_is_not_begun(leave, monkeypatch):
+def test_a_first_attempt_that_waits_for_its_connection_is_not_started(leave, monkeypatch):
     async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(100))
@@ -50,7 +50,7 @@
 
 
 @LEAVES
-def test_a_decode_after_a_prefill_is_not_begun(leave):
+def test_a_decode_after_a_prefill_is_not_started(leave):
     async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(5000))
@@ -65,7 +65,7 @@
 
 
 @LEAVES
-def test_a_further_attempt_is_not_begun(leave):
+def test_a_further_attempt_is_not_started(leave):
     async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(100))
@@ -81,8 +81,8 @@
 
 @LEAVES
 @pytest.mark.parametrize("behind", [1, 3])
-def test_bytes_that_are_buffered_already_are_not_begun(leave, behind):
-    """The reading stopped at the first whole request behind the one in hand: the end was not seen."""
+def test_buffered_requests_are_not_started(leave, behind):
+    """Guards against reading that stops at the first buffered request and misses the disconnect behind it."""
 
     async def scenario(node):
         async with Client(node.address) as client:
@@ -102,7 +102,7 @@
 
 
 @LEAVES
-def test_what_comes_with_its_clients_end_is_not_begun(leave):
+def test_a_request_that_arrives_with_the_disconnect_is_not_started(leave):
     async def scenario(node):
         async with Client(node.address) as client:
             client.writer.write(chat(100))
@@ -116,8 +116,8 @@
 
 
 @pytest.mark.parametrize("prompt", [100, 5000])
-def test_a_client_that_left_while_the_loop_was_busy_gets_nothing_begun(prompt, monkeypatch):
-    """Its end waits in the system, where the loop has not looked yet: the sender has to look itself."""
+def test_no_attempt_starts_for_a_client_that_left_while_the_event_loop_was_busy(prompt, monkeypatch):
+    """The event loop has not polled the socket yet, so the sender must check for the disconnect itself."""
 
     async def scenario(node):
         host, _, port = node.address.rpartition(":")
@@ -133,7 +133,7 @@
         connection = await take(self, fresh)
         while gone:
             gone.pop().close()
-        time.sleep(0.15)  # the loop is at other work
+        time.sleep(0.15)  # the event loop is busy
         return connection
 
     monkeypatch.setattr(Link, "take", leaves)
@@ -143,7 +143,7 @@
 
 
 @LEAVES
-def test_a_client_that_sends_much_behind_its_request_and_goes_is_seen_to(leave):
+def test_the_disconnect_of_a_client_is_noticed_behind_much_other_data(leave):
     async def scenario(node):
         async with Client(node.address) as client:
             client.writer.write(chat(100) + b"x" * 3_000_000)
@@ -157,7 +157,7 @@
     assert len(wr.requests) == 1
 
 
-def test_what_comes_early_is_answered_in_its_turn():
+def test_pipelined_requests_are_answered_in_order():
     async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(100, trace="t0") + chat(100, trace="t1") + b"no request\r\n\r\n")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -57,7 +57,7 @@
 # The configuration.
 
 
-def test_the_settings_mean_the_same_from_both_sources():
+def test_flat_and_nested_settings_give_the_same_deployment():
     env = {
         "Zone": "a", "Flavors": "P,D", "FamilyInfo.RoleByKind": "read,write", "FamilyInfo.KvTokens": "9,8",
         "FamilyInfo.LocalRead": "true", "Grades.count": "1", "Grades.0.Name": "ask",
@@ -75,7 +75,7 @@
     assert deployment_of(flat(nested)) == deployment_of(env)
 
 
-def test_a_configuration_gives_limits_and_the_known_list():
+def test_a_configuration_gives_connection_limits_and_an_initial_list():
     known = json.loads(list_update(target("rd", "1.2.3.4:5", boot_ms=0), rev=41))
     node_config = start.parse_config(json.dumps(config(known=known, limits={"sockets": 256})).encode())
     assert (node_config.initial_list.version, node_config.initial_list.entries[0][1]) == (41, "1.2.3.4:5")
@@ -96,7 +96,7 @@
      json.dumps(config(seed="xyz")).encode(), json.dumps(config(known={"rev": 1})).encode(),
      json.dumps(config(settings={"Grades": [{}]})).encode()],
 )  # fmt: skip
-def test_a_configuration_that_cannot_be_used_is_refused(data):
+def test_an_invalid_configuration_is_refused(data):
     with pytest.raises(start.ConfigError):
         start.parse_config(data)
 
@@ -114,7 +114,7 @@
         ("Grades", "Group", "street"),
     ],
 )
-def test_a_setting_that_cannot_be_used_is_named_in_one_line(tmp_path, place, name, value):
+def test_an_invalid_setting_is_named_in_a_one_line_error(tmp_path, place, name, value):
     settings = copy.deepcopy(SETTINGS)
     where = settings[place][0] if place == "Grades" else settings[place] if place else settings
     where[name] = value
@@ -137,7 +137,7 @@
 GROUPS = deployment_of(flat(SETTINGS)).groups
 
 
-def test_a_message_becomes_a_demand():
+def test_a_request_is_parsed():
     props = "prefix=5c0f,prompt_len=512,prefix_len=128,max_out=80"
     sent = chat(600, X_Props=props, X_Second_Try="again", budget_ms="4800")
     demand = clients.parse_request(parse_message(sent), 7, GROUPS)
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "status"),
+    ("changes", "status"),
     [
         ({"trace": None}, 400), ({"trace": "a b"}, 400), ({"trace": "x" * 65}, 400), ({"trace": "a,a"}, 400),
         ({"request_class": "none"}, 400), ({"request_class": None}, 400),
@@ -172,21 +172,21 @@
         ({"path": "/v1/other"}, 404),
     ],
 )  # fmt: skip
-def test_what_is_no_demand_is_answered_with_4xx(how, status):
+def test_a_malformed_request_is_answered_with_4xx(changes, status):
     with pytest.raises(HttpError) as caught:
-        clients.parse_request(parse_message(chat(**how)), 1, GROUPS)
+        clients.parse_request(parse_message(chat(**changes)), 1, GROUPS)
     assert caught.value.status == status
 
 
-def test_a_forward_passes_the_message_on():
+def test_an_attempt_passes_the_message_on():
     came = parse_message(chat(50, trace="t9", path=clients.CHAT_PATH + "?a=1"))
     went = parse_message(engines.encode_attempt(came, 1_500_000))
     assert (went.method, went.path, went.body) == (came.method, came.path, came.body)
     assert (went.headers["x-trace-id"], went.headers["x-expires-in-ms"]) == ("t9", "1500")
 
 
-def test_a_forward_passes_on_what_it_does_not_know_but_nothing_of_its_connection():
-    """An idempotency key that stayed behind: its engine could not tell a repeat from a new request."""
+def test_an_attempt_passes_on_unknown_headers_but_no_hop_by_hop_headers():
+    """Without its idempotency key, an engine could not tell a repeated request from a new one."""
     sent = {"Idempotency_Key": "k-1", "X_Customer": "t", "X_Anything": "a, b", "Connection": "close, X-Hop"}
     came = parse_message(chat(50, X_Hop="1", TE="trailers", Keep_Alive="5", **sent))
     went = parse_message(engines.encode_attempt(came, 1_500_000)).headers
@@ -200,12 +200,12 @@
      (504, "1", (Ending.BUSY, 0)), (503, "", (Ending.ERROR, 0)), (410, "1", (Ending.BUSY, 1)),
      (400, "", (Ending.ERROR, 0)), (302, "", (Ending.ERROR, 0))],
 )  # fmt: skip
-def test_what_an_answer_says_of_its_forward(status, mark, outcome):
+def test_the_head_of_an_answer_gives_the_attempts_outcome(status, mark, outcome):
     observation = engines.observation_of(Message(status=status, headers={"x-never-ran": mark}))
     assert engines.OUTCOMES[observation] == outcome
 
 
-def test_every_sight_has_an_ending_and_few_prove_that_nothing_ran():
+def test_every_observation_has_an_outcome_and_few_prove_that_nothing_ran():
     not_run = {Ending.UNREACHABLE, Ending.NOT_SENT, Ending.BUSY}
     proofs = {observation for observation, (outcome, _) in engines.OUTCOMES.items() if outcome in not_run}
     assert set(engines.OUTCOMES) == set(Observation)
@@ -229,7 +229,7 @@
     assert engines.parse_load_report(text) == report
 
 
-def test_events_pass_whole_and_unchanged_whatever_the_borders():
+def test_events_pass_complete_and_unchanged_however_the_stream_is_split():
     stream = EVENT + b": Endpoint-Load-Metrics: TEXT queue=3\n\n" + EVENT + END
     for size in (1, 7, 50, len(stream)):
         events = engines.EventStream()
@@ -242,14 +242,14 @@
 @pytest.mark.parametrize(
     "data", [b"noise\n\n", b"data: {\n\n", b'data: {"x":1}\n\n', b"data: \xff\n\n", b"x" * 300_000]
 )
-def test_what_is_no_event_does_not_pass(data):
+def test_a_malformed_event_does_not_pass(data):
     events = engines.EventStream()
     assert events.feed(EVENT[:20]) == b""
     with pytest.raises(HttpError):
         events.feed(EVENT[20:] + data)
 
 
-def test_an_answer_behind_announcements_is_read_and_one_behind_it_is_surplus():
+def test_informational_answers_are_skipped_and_a_second_answer_is_surplus():
     parser = AnswerParser()
     parser.feed(b"HTTP/1.1 103 Early\r\nx-never-ran: 1\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + PREFILLED)
     assert (parser.head.status, parser.complete, parser.surplus) == (202, True, False)
@@ -258,19 +258,19 @@
     assert parser.surplus and parser.head.status == 202 and parser.body() == b'{"cached_tokens": 5}'
 
 
-def test_announcements_without_end_are_no_answer():
+def test_endless_informational_answers_are_an_error():
     with pytest.raises(HttpError):
         AnswerParser().feed(b"HTTP/1.1 102 Processing\r\n\r\n" * 20)
 
 
 @pytest.mark.parametrize("line", [b"{", b"[]", b'{"rev": 1}', b'{"rev": 1, "all": true, "targets": {}}'])
-def test_an_object_that_is_no_list_is_strange(line):
+def test_an_object_that_is_not_a_list_is_malformed(line):
     with pytest.raises(MalformedUpdateError):
         parse_update(line)
 
 
 @pytest.mark.parametrize(
-    ("odd", "read_as"),
+    ("malformed", "expected"),
     [
         (target("e", "a:1", "booting"), ("e", "draining", "a:1")),
         (target("e", "nowhere"), ("e", "draining", "")),
@@ -283,14 +283,14 @@
         ("e", None),
     ],
 )
-def test_an_odd_entry_costs_only_itself(odd, read_as):
-    found = parse_update(list_update(target("rd", "a:2"), odd, target("wr", "a:3"))).entries
+def test_a_malformed_entry_does_not_affect_the_others(malformed, expected):
+    found = parse_update(list_update(target("rd", "a:2"), malformed, target("wr", "a:3"))).entries
     described = [(entry.engine, entry.readiness, address) for entry, address in found]
-    assert described == [("rd", "ready", "a:2"), *([read_as] if read_as else []), ("wr", "ready", "a:3")]
+    assert described == [("rd", "ready", "a:2"), *([expected] if expected else []), ("wr", "ready", "a:3")]
     assert all(entry.weight >= 0 and entry.up_since == 0 for entry, _ in found)
 
 
-def test_an_entry_without_an_address_tells_only_of_an_engine_in_hand():
+def test_an_entry_without_an_address_applies_only_to_a_known_engine():
     async def scenario(node):
         node.update_engines(target("wr", "", "draining"), target("wr2", "", "gone"), target("wr3", "x"))
         endpoints = {
@@ -305,14 +305,14 @@
     assert endpoints["wr"][0] == "draining" and set(endpoints) == known == {"wr"} and status == 503
 
 
-def test_a_state_at_an_engine_that_is_back_as_a_reader_is_released():
+def test_a_held_state_at_an_engine_that_returned_as_a_prefill_engine_is_released():
     async def scenario(node):
         back = (target(uid, node.addresses[uid], model=kind) for uid, kind in (("rd", "D"), ("wr", "P")))
         node.update_engines(*back)
         async with Client(node.address) as client:
             await client.send(chat(5000))
             await node.until(lambda: wr.lines("POST"))
-        await node.until(lambda: wr.lines("DELETE"))  # the client left
+        await node.until(lambda: wr.lines("DELETE"))  # the client has disconnected
 
     wr = Engine([HANG])
     run_with_node(scenario, rd=Engine(), wr=wr)
@@ -339,14 +339,14 @@
 @pytest.mark.parametrize(
     "lines", [[b"hello}"], [b"{", b""], [b'{"rev":1,', b"}}"], [b"{}"], [b"x" * 3000] * 2000]
 )
-def test_lines_that_become_no_object_are_told_at_once(lines):
+def test_lines_that_cannot_become_an_update_are_refused_at_once(lines):
     assembler = UpdateAssembler()
     with pytest.raises(MalformedUpdateError):
         for line in lines:
             assembler.feed(line)
 
 
-def test_a_start_is_told_on_this_machines_clock():
+def test_an_engines_start_time_is_converted_to_the_monotonic_clock():
     at = time.time_ns() // 1_000_000
     entry, _ = parse_update(list_update(target("e", "a:1", boot_ms=at), target("f", "a:1"))).entries[0]
     starts = StartTimes(wall_ahead())
@@ -357,7 +357,7 @@
 # Connections to engines.
 
 
-def test_a_connection_with_bytes_that_nobody_asked_for_is_not_used_again():
+def test_a_connection_with_unrequested_bytes_is_not_reused():
     async def scenario(script):
         engine = Engine(script)
         server = await asyncio.start_server(engine.connection, "127.0.0.1", 0)
@@ -374,7 +374,7 @@
     assert asyncio.run(scenario([PREFILLED, 0.01, PREFILLED])) == 2
 
 
-def test_connections_that_wait_unused_are_swept_once_their_end_has_closed():
+def test_idle_connections_that_the_engine_closed_are_swept():
     async def scenario():
         server = await asyncio.start_server(Engine([PREFILLED, CLOSE]).connection, "127.0.0.1", 0)
         link = Link("{}:{}".format(*server.sockets[0].getsockname()), 1.0)
@@ -387,19 +387,19 @@
     assert asyncio.run(scenario()) == 0
 
 
-def test_trust_in_kept_connections_halves_with_a_reset_and_grows_back():
+def test_the_lifetime_of_idle_connections_halves_with_a_reset_and_grows_back():
     lasting = Lasting(8.0)
     assert lasting.span(1000.0) == 8.0
     lasting.broke(0.4, 1000.0)
     assert lasting.span(1000.0) == 0.2
-    lasting.broke(5.0, 1000.0)  # one that was taken before
+    lasting.broke(5.0, 1000.0)  # on a connection taken before the first reset
     assert lasting.span(1000.0) == 0.2
     assert lasting.span(1010.0) == pytest.approx(0.4) and lasting.span(2000.0) == 8.0
 
 
-def test_a_kept_connection_that_is_reset_at_the_next_req_costs_trust_and_no_req():
+def test_a_reset_of_a_reused_connection_shortens_the_lifetime_and_fails_no_request():
     class DropsSecondRequest(Engine):
-        """Drops each connection when a second req comes on it."""
+        """Drops each connection when a second request arrives on it."""
 
         async def connection(self, reader, writer):
             self.connections += 1
@@ -420,7 +420,7 @@
     assert one.dropped + two.dropped == 1 and len(one.requests + two.requests) == 6
 
 
-def test_a_connection_that_is_reset_as_it_opens_costs_no_forward():
+def test_a_connection_that_is_reset_as_it_opens_fails_no_attempt():
     class ResetsFirstConnection(Engine):
         async def connection(self, reader, writer):
             if self.connections < 2:
@@ -436,7 +436,7 @@
 
         async def late(fresh):
             connection = await take(fresh)
-            await asyncio.sleep(0.05)  # so that the reset is there before anything is written
+            await asyncio.sleep(0.05)  # so that the reset arrives before anything is written
             return connection
 
         link.take = late
@@ -448,7 +448,7 @@
     assert run_with_node(scenario, wr=wr) == (200, 0) and len(wr.requests) == 1
 
 
-def test_a_reset_after_the_whole_req_was_taken_may_have_run():
+def test_an_attempt_that_is_reset_after_it_was_written_may_have_run():
     class ResetsAfterRequest(Engine):
         async def connection(self, reader, writer):
             self.scripts = [[]]
@@ -468,11 +468,13 @@
     assert ids and len(ids) == len(set(ids))
 
 
-def test_a_non_replayable_req_goes_to_its_writer_on_a_fresh_connection():
+def test_a_non_idempotent_request_goes_to_its_decode_engine_on_a_new_connection():
     async def scenario(node):
         for n in range(3):
             assert (await exchange(node.address, chat(5000, request_class="pay", trace=f"t{n}")))[0] == 200
-            await asyncio.sleep(1.2 * RESTS_FOR)  # a second answer may come late: a connection rests before
+            await asyncio.sleep(
+                1.2 * RESTS_FOR
+            )  # a connection rests before its reuse: a late second answer may arrive
         return rd.connections, wr.connections
 
     rd, wr = Engine([PREFILLED]), Engine()
@@ -483,7 +485,7 @@
 
 
 class DiscoveryServer:
-    """Answers each watch with the next of these texts, the last one again and again; then says nothing."""
+    """Answers each watch with the next of these texts, the last one repeatedly, and then falls silent."""
 
     def __init__(self, *texts):
         self.texts, self.asked = texts, []
@@ -499,7 +501,8 @@
 
 
 def run_watch(*discoveries, until):
-    """What a follower hears, turned from each discovery to the next as soon as it has heard from one."""
+    """Moves a watch from each discovery server to the next as soon as it has received an update from one, and
+    checks the versions received."""
 
     async def scenario():
         servers = [await asyncio.start_server(each.serve, "127.0.0.1", 0) for each in discoveries]
@@ -519,15 +522,15 @@
     asyncio.run(scenario())
 
 
-def test_a_watch_goes_on_elsewhere_from_the_version_in_hand():
+def test_a_watch_continues_at_another_address_from_its_current_version():
     old, new = (DiscoveryServer(list_update(target("rd", "a:1"), rev=rev)) for rev in (43, 50))
     run_watch(old, new, until=[43, 50])
     assert old.asked + new.asked == ["41", "43"]
 
 
-@pytest.mark.parametrize("odd", [b"no news}", b'{"rev": "x", "all": true, "targets": []}'])
-def test_news_that_stay_odd_are_asked_for_as_the_whole_list(odd):
-    discovery = DiscoveryServer(odd, odd, list_update(target("rd", "a:1"), rev=44))
+@pytest.mark.parametrize("malformed", [b"no news}", b'{"rev": "x", "all": true, "targets": []}'])
+def test_the_complete_list_is_requested_after_repeated_malformed_updates(malformed):
+    discovery = DiscoveryServer(malformed, malformed, list_update(target("rd", "a:1"), rev=44))
     run_watch(discovery, until=[44])
     assert discovery.asked == ["41", "41", "0"]
 
@@ -535,7 +538,7 @@
 # The host.
 
 
-def test_a_short_prompt_is_read_where_it_is_written_and_its_stream_passes_unchanged():
+def test_a_short_prompt_is_prefilled_at_its_decode_engine_and_its_stream_passes_unchanged():
     wr, rd = Engine(), Engine([PREFILLED])
     status, _, body, whole = run_with_node(
         lambda node: exchange(node.address, chat(100, trace="t1")), wr=wr, rd=rd
@@ -544,7 +547,7 @@
     assert not rd.requests and wr.requests[0][1]["x-trace-id"] == "t1"
 
 
-def test_a_long_prompt_is_read_at_a_reader_and_nothing_is_released_after_it():
+def test_a_long_prompt_is_prefilled_at_a_prefill_engine_and_needs_no_release():
     wr, rd = Engine(), Engine([PREFILLED])
     status, _, _, whole = run_with_node(lambda node: exchange(node.address, chat(5000)), wr=wr, rd=rd)
     assert (status, whole) == (200, True)
@@ -555,28 +558,31 @@
     ) == (1, 1, [])
 
 
-@pytest.mark.parametrize("what", MALFORMED_STARTS)
-def test_a_spoilt_opening_may_have_run(what):
-    """Replayable goes elsewhere; non-replayable is aborted at once, and never pushed back."""
+@pytest.mark.parametrize("start_name", MALFORMED_STARTS)
+def test_an_attempt_with_a_malformed_answer_may_have_run(start_name):
+    """An idempotent request goes to another engine; a non-idempotent one fails at once."""
 
     async def scenario(node):
         first = await exchange(node.address, chat(100, request_class="pay", trace="p1"))
         return first, await exchange(node.address, chat(100, request_class="ask", trace="p2"))
 
-    one, two = Engine([MALFORMED_STARTS[what]], [STREAM]), Engine([MALFORMED_STARTS[what]], [STREAM])
+    one, two = (
+        Engine([MALFORMED_STARTS[start_name]], [STREAM]),
+        Engine([MALFORMED_STARTS[start_name]], [STREAM]),
+    )
     (status, *_), (later, _, body, whole) = run_with_node(scenario, wr1=one, wr2=two)
     assert status == 504 and (later, body, whole) == (200, EVENT + EVENT + END, True)
     assert [fields["x-trace-id"] for _, fields in one.requests + two.requests].count("p1") == 1
 
 
 @pytest.mark.parametrize("after", [[CLOSE], [b"zz\r\nnoise"], [chunk(b"noise\n\n")], [HANG]])
-def test_a_stream_that_breaks_ends_without_a_last_chunk(after):
+def test_a_broken_stream_ends_without_a_last_chunk(after):
     wr = Engine([HEAD + chunk(EVENT), 0.05, *after])
     status, _, body, whole = run_with_node(lambda node: exchange(node.address, chat(100)), wr=wr)
     assert (status, body, whole) == (200, EVENT, False)
 
 
-def test_a_client_that_leaves_takes_its_forward_along_and_what_is_held():
+def test_a_disconnect_cancels_the_attempt_and_releases_the_held_state():
     async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(5000))
@@ -588,7 +594,7 @@
     assert rd.lines("DELETE") == ["DELETE /bootstrap/rooms/a1 HTTP/1.1"]
 
 
-def test_a_release_goes_by_way_of_another_engine_where_its_holder_is_gone():
+def test_a_release_goes_through_another_engine_if_the_holder_is_gone():
     async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(5000))
@@ -601,13 +607,13 @@
     assert wr.lines("DELETE") == ["DELETE /bootstrap/rooms/a1 HTTP/1.1"]
 
 
-def test_a_release_finds_a_zone_that_answers_though_another_was_heard_of_last():
+def test_a_release_reaches_a_zone_that_answers_though_a_silent_one_was_heard_from_last():
     async def scenario(node):
         node.update_engines(
             *(target(uid, at, az="a" if uid == "wr0" else "b") for uid, at in node.addresses.items())
         )
         for name in ("rd", "wr1", "wr2", "wr3"):
-            node.host.endpoints[name].last_heard_at = 1 << 60  # of zone b, which is cut off from here on
+            node.host.endpoints[name].last_heard_at = 1 << 60  # zone b is cut off from now on
         async with Client(node.address) as client:
             await client.send(chat(5000))
             await node.until(lambda: rd.lines("POST"))
@@ -628,7 +634,7 @@
     )
 
 
-def test_an_answer_goes_out_by_the_clients_time():
+def test_an_answer_is_sent_within_the_clients_budget():
     began = time.monotonic()
     status, *_ = run_with_node(
         lambda node: exchange(node.address, chat(100, budget_ms="300")), wr=Engine([HANG])
@@ -636,7 +642,7 @@
     assert status == 504 and 0.25 < time.monotonic() - began < 0.45
 
 
-def test_what_is_turned_away_everywhere_is_pushed_back_at_once_and_told_when_to_come_back():
+def test_a_request_refused_by_all_engines_is_rejected_at_once_with_a_retry_after():
     wr = Engine([REFUSED_NOT_RUN])
     began = time.monotonic()
     status, fields, *_ = run_with_node(
@@ -645,7 +651,7 @@
     assert status == 503 and 0 < float(fields["retry-after"]) <= 2.0 and time.monotonic() - began < 0.5
 
 
-def test_no_connection_is_proven_not_run():
+def test_a_failed_connection_proves_that_nothing_ran():
     async def scenario(node):
         node.servers[list(node.engines).index("wr1")].close()
         await asyncio.sleep(0.05)
@@ -656,7 +662,7 @@
     assert run_with_node(scenario, wr1=Engine(), wr2=Engine()) == [200] * 4
 
 
-def test_an_id_that_is_open_is_not_taken_twice():
+def test_a_second_request_with_an_open_id_is_refused():
     async def scenario(node):
         async with Client(node.address) as first:
             await first.send(chat(100, trace="t1"))
@@ -685,7 +691,7 @@
         b"\x16\x03\x01" * 30,
     ],
 )
-def test_what_cannot_be_read_gets_an_error_or_a_close_soon(data):
+def test_malformed_input_gets_an_error_or_a_close_soon(data):
     async def scenario(node):
         async with Client(node.address) as client:
             await client.send(data)
@@ -697,7 +703,7 @@
     assert len(wr.requests) == 1
 
 
-def test_silent_connections_give_way_to_clients():
+def test_silent_connections_are_closed_for_new_clients():
     async def scenario(node):
         accepting = asyncio.create_task(node.client_listener.accept(listening_socket, node._tasks))
         silent_clients = [Client(address) for _ in range(30)]
@@ -721,7 +727,7 @@
     assert status == 200 and took < 1.5
 
 
-def test_a_slow_client_stops_the_reading_of_its_engine_and_gets_all():
+def test_a_slow_client_throttles_its_engine_and_gets_the_whole_answer():
     events = EVENT * 20_000
     wr = Engine([HEAD] + [chunk(EVENT * 500)] * 40 + [chunk(END) + b"0\r\n\r\n"])
 
@@ -734,7 +740,7 @@
     assert run_with_node(scenario, wr=wr)[2:] == (events + END, True)
 
 
-def test_engines_that_are_gone_are_forgotten(monkeypatch):
+def test_gone_engines_are_forgotten(monkeypatch):
     monkeypatch.setattr(host, "FORGET_GONE_AFTER", 100_000)
     monkeypatch.setattr(host, "SWEEP_INTERVAL", 0.02)
 
@@ -755,7 +761,7 @@
     run_with_node(scenario, wr=wr)
 
 
-def test_connections_to_engines_stay_within_their_part_of_the_descriptors():
+def test_connections_to_engines_stay_within_their_share_of_the_descriptors():
     async def scenario(node):
         max_connections = node.host.max_connections
         for n in range(3 * max_connections):
@@ -777,26 +783,26 @@
     assert idle <= max_connections
 
 
-def test_room_among_engines_connections_is_made_without_a_look_at_each_engine():
+def test_idle_connections_are_closed_without_a_scan_of_all_engines():
     async def scenario(node):
         for n in (2, 0, 3, 1):
             connection = await (link := node.host.endpoints[f"wr{n}"].link).take(fresh=True)
             await connection.send(engines.PROBE_REQUEST)
             await connection.rest()
             link.give(connection)
-        node.host.max_connections, node.host.endpoints = 2, None  # the engines are not looked at
+        node.host.max_connections, node.host.endpoints = 2, None  # the engines are not scanned
         node.host._enforce_connection_limit()
         node.host.endpoints = {}
         return [link.address for link in node.host._idle_connections.values()], node.addresses
 
     left, listed = run_with_node(scenario, **{f"wr{n}": Engine([PREFILLED]) for n in range(4)})
-    assert left == [listed["wr3"], listed["wr1"]]  # the ones that waited longest went
+    assert left == [listed["wr3"], listed["wr1"]]  # the longest idle ones were closed
 
 
 # The program.
 
 
-def test_a_new_configuration_changes_discovery_and_descriptors(tmp_path):
+def test_a_reload_changes_the_discovery_address_and_the_connection_limits(tmp_path):
     async def scenario(node):
         reload, watch = asyncio.Event(), Watch(("127.0.0.1", 1), 0, node.host.on_list_update)
         path = tmp_path / "config.json"
@@ -814,7 +820,7 @@
     assert before[0] == ("127.0.0.1", 1) and now == (("127.0.0.1", 2), 90, 110)
 
 
-def test_the_program_serves_reads_its_configuration_anew_and_stops_without_losing_a_req(tmp_path):
+def test_the_program_serves_reloads_its_configuration_and_stops_without_losing_a_request(tmp_path):
     async def scenario():
         wr = Engine([0.6, STREAM])
         server = await asyncio.start_server(wr.connection, "127.0.0.1", 0)
@@ -833,7 +839,7 @@
                 while True:
                     try:
                         if (await exchange(listen, b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n"))[0] == 200:
-                            break  # at once where discovery answers, and here it does not
+                            break  # only after the timeout here, as discovery does not answer
                     except OSError:
                         pass
                     await asyncio.sleep(0.05)
@@ -860,8 +866,8 @@
     assert asyncio.run(scenario()) == (200, True, 200, True, 0)
 
 
-def test_a_start_does_not_load_what_nobody_speaks():
-    """A fleet starts hundreds of routers at once: at full size one got no turn for 20 s at its start."""
+def test_a_start_does_not_load_the_ssl_module():
+    """A fleet starts hundreds of routers at once; in a full-size test one waited 20 s for processor time."""
     loaded = "import sys, lifthead.node.__main__; print(sys.modules['ssl'], sys.modules.get('_ssl'))"
     said = subprocess.run([sys.executable, "-B", "-c", loaded], capture_output=True, text=True)
     assert said.stdout.split() == ["None", "None"], said.stderr
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""SIGHUP before a router process listens for it and while it ends."""
+"""SIGHUP before a router process has a handler for it, and while the process exits."""
 
 import asyncio
 import signal
@@ -10,7 +10,7 @@
 from lifthead.node.signals import EarlyReload
 
 
-def test_a_reload_that_comes_before_the_loop_is_remembered():
+def test_a_reload_before_the_event_loop_starts_is_remembered():
     before = signal.getsignal(signal.SIGHUP)
     reload = EarlyReload()
     try:
@@ -23,8 +23,8 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_signals_until_the_last_moment_of_a_stop_do_not_end_it_otherwise(tmp_path, number):
-    """Fault soak, seed 223: a SIGHUP 9 ms before the end, once the loop had closed."""
+def test_signals_during_a_stop_do_not_change_its_exit_code(tmp_path, number):
+    """Guards against a SIGHUP that ends the process once its event loop has closed (fault soak, seed 223)."""
 
     async def scenario():
         async with NodeProcess(tmp_path, rd=Engine(), wr=Engine()) as program:
