--- a/lifthead/node/clients.py
+++ b/lifthead/node/clients.py
@@ -49,12 +49,12 @@
     """Parses a client's message into a request with this number; raises HttpError with a 4xx status if it is
     malformed. `waited`: microseconds since its last byte arrived, which count against its budget."""
     if message.path.partition("?")[0] != CHAT_PATH:
-        raise HttpError(404, f"unknown path {message.path[:60]}")
+        raise HttpError(404, f"there is no {message.path[:60]}")
     if message.method != "POST":
         raise HttpError(405, "expected POST")
     headers = message.headers
     if not _match_id(headers.get(ID_HEADER, "")):
-        raise HttpError(400, f"{ID_HEADER} is missing or not a valid id")
+        raise HttpError(400, f"{ID_HEADER} is missing or no id")
     request_class = headers.get("x-qos", "")
     if request_class not in request_classes:
         raise HttpError(400, f"x-qos is {request_class!r:.40}, which is not served here")
@@ -64,7 +64,7 @@
     try:
         body = _decode_body(message.body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise HttpError(400, f"the body is not a chat request: {str(error)[:120]}") from None
+        raise HttpError(400, f"the body is no chat: {str(error)[:120]}") from None
     properties = dict(
         pair.strip().partition("=")[::2] for pair in headers.get("x-props", "").split(",") if pair
     )
@@ -106,9 +106,9 @@
     """Returns status, body and headers of a rejection, which a client may safely retry. `retry_after`:
     microseconds; 0 for no Retry-After header."""
     headers = {**JSON_HEADERS, "retry-after": f"{retry_after / 1e6:.3f}"} if retry_after else JSON_HEADERS
-    return 503, error_body(503, "pushed_back", "the request is safe to retry"), headers
+    return 503, error_body(503, "pushed_back", "trying again does no harm"), headers
 
 
 def failure() -> tuple[int, bytes, Headers]:
     """Returns status, body and headers for a request that may have run and brought no answer."""
-    return 504, error_body(504, "aborted", "the request may have run or not"), JSON_HEADERS
+    return 504, error_body(504, "aborted", "whether it had an effect is not known"), JSON_HEADERS
--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -108,7 +108,7 @@
             demand = clients.parse_request(message, self._next, self._groups, self.waited(message))
             request_id = message.headers[clients.ID_HEADER]
             if request_id in self._open_request_ids:
-                raise HttpError(409, "a request with this id is in progress")
+                raise HttpError(409, "a req with this id is open")
         except HttpError as error:
             reply.keep_alive = False
             return reply.whole(error.status, clients.error_body(error.status, "bad_req", error.said))
