--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -81,17 +81,17 @@
 
     def on_list_update(self, update: EngineListUpdate) -> None:
         """Applies an update of discovery. Engines that a snapshot leaves out count as gone."""
-        at, clock_offset, entries = now(), wall_ahead(), []
+        received_at, clock_offset, entries = now(), wall_ahead(), []
         for entry, address in update.entries:
             endpoint = self.endpoints.get(entry.engine)
             if address or endpoint:  # a new engine without an address is of no use
                 address = address or endpoint.link.address
-                self._note(entry.engine, address, entry.kind, entry.readiness, at).zone = entry.zone
-                up_since = self.starts.up_since(entry.engine, entry.up_since, at, clock_offset)
+                self._note(entry.engine, address, entry.kind, entry.readiness, received_at).zone = entry.zone
+                up_since = self.starts.up_since(entry.engine, entry.up_since, received_at, clock_offset)
                 entries.append(replace(entry, up_since=up_since))
-        self.starts.listed(at)
+        self.starts.listed(received_at)
         if update.is_snapshot:
-            self._only({entry.engine for entry in entries}, at)
+            self._only({entry.engine for entry in entries}, received_at)
         self.router.on_engines(entries, update.is_snapshot)
 
     def _link(self, address: str) -> Link:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -97,9 +97,9 @@
     async def scenario(node):
         async with Client(node.listen) as client:
             await client.send(chat(5000))
-            held_at = rd if "prefill" in at else wr
+            waiting_engine = rd if "prefill" in at else wr
             async with asyncio.timeout(5):
-                while not held_at.requests:
+                while not waiting_engine.requests:
                     await asyncio.sleep(0.005)
             for number in signals:
                 node.process.send_signal(number)
@@ -406,8 +406,8 @@
     monkeypatch.setattr(Link, "take", ended)
     one, two = Ends(), Ends()
     assert run_with_node(scenario, wr1=one, wr2=two) == (200, 200)
-    came = [fields["x-trace-id"] for _, fields in one.requests + two.requests]
-    assert came.count("t1") == 1
+    request_ids = [fields["x-trace-id"] for _, fields in one.requests + two.requests]
+    assert request_ids.count("t1") == 1
 
 
 # Events in the same turn of the event loop as a deadline.
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -230,7 +230,7 @@
 @pytest.mark.parametrize("count", [24, 200])
 def test_a_shared_discovery_service_that_refuses_calls_can_recover(count, monkeypatch):
     """A refused call costs the service as much as any other. It can take one call from each process in 4.5 s
-    and refuses calls while its backlog is over 2 s. Immediate retries kept most processes out for ever."""
+    and refuses calls while its backlog is over 2 s. Immediate retries kept most out for a whole scenario."""
     answered, backlog, cost = {}, [0.0, 0.0], 4.5 / count
 
     async def watched(self, address):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -123,16 +123,16 @@
         host, _, port = node.address.rpartition(":")
         client = socket.create_connection((host, int(port)))
         client.sendall(chat(prompt))
-        gone.append(client)
-        await node.until(lambda: not gone and not node.host.pending_requests)
+        leaving.append(client)
+        await node.until(lambda: not leaving and not node.host.pending_requests)
         await asyncio.sleep(DELAY)
 
-    take, gone = Link.take, []
+    take, leaving = Link.take, []
 
     async def leaves(self, fresh):
         connection = await take(self, fresh)
-        while gone:
-            gone.pop().close()
+        while leaving:
+            leaving.pop().close()
         time.sleep(0.15)  # the event loop is busy
         return connection
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -179,19 +179,26 @@
 
 
 def test_an_attempt_passes_the_message_on():
-    came = parse_message(chat(50, trace="t9", path=clients.CHAT_PATH + "?a=1"))
-    went = parse_message(engines.encode_attempt(came, 1_500_000))
-    assert (went.method, went.path, went.body) == (came.method, came.path, came.body)
-    assert (went.headers["x-trace-id"], went.headers["x-expires-in-ms"]) == ("t9", "1500")
+    incoming = parse_message(chat(50, trace="t9", path=clients.CHAT_PATH + "?a=1"))
+    outgoing = parse_message(engines.encode_attempt(incoming, 1_500_000))
+    assert (outgoing.method, outgoing.path, outgoing.body) == (incoming.method, incoming.path, incoming.body)
+    assert (outgoing.headers["x-trace-id"], outgoing.headers["x-expires-in-ms"]) == ("t9", "1500")
 
 
 def test_an_attempt_passes_on_unknown_headers_but_no_hop_by_hop_headers():
     """Without its idempotency key, an engine could not tell a repeated request from a new one."""
     sent = {"Idempotency_Key": "k-1", "X_Customer": "t", "X_Anything": "a, b", "Connection": "close, X-Hop"}
-    came = parse_message(chat(50, X_Hop="1", TE="trailers", Keep_Alive="5", **sent))
-    went = parse_message(engines.encode_attempt(came, 1_500_000)).headers
-    assert (went["idempotency-key"], went["x-customer"], went["x-anything"]) == ("k-1", "t", "a, b")
-    assert not {"connection", "x-hop", "te", "keep-alive"} & set(went) and went["host"] == "backend.local"
+    incoming = parse_message(chat(50, X_Hop="1", TE="trailers", Keep_Alive="5", **sent))
+    outgoing = parse_message(engines.encode_attempt(incoming, 1_500_000)).headers
+    assert (outgoing["idempotency-key"], outgoing["x-customer"], outgoing["x-anything"]) == (
+        "k-1",
+        "t",
+        "a, b",
+    )
+    assert (
+        not {"connection", "x-hop", "te", "keep-alive"} & set(outgoing)
+        and outgoing["host"] == "backend.local"
+    )
 
 
 @pytest.mark.parametrize(
@@ -869,5 +876,5 @@
 def test_a_start_does_not_load_the_ssl_module():
     """A fleet starts hundreds of routers at once; in a full-size test one waited 20 s for processor time."""
     loaded = "import sys, lifthead.node.__main__; print(sys.modules['ssl'], sys.modules.get('_ssl'))"
-    said = subprocess.run([sys.executable, "-B", "-c", loaded], capture_output=True, text=True)
-    assert said.stdout.split() == ["None", "None"], said.stderr
+    result = subprocess.run([sys.executable, "-B", "-c", loaded], capture_output=True, text=True)
+    assert result.stdout.split() == ["None", "None"], result.stderr
