--- a/lifthead/node/signals.py
+++ b/lifthead/node/signals.py
@@ -1,31 +1,31 @@
-"""SIGHUP at any moment of a process's life: before its event loop listens for it, and after that has ended.
+"""Handling of SIGHUP before the event loop has a handler for it, and after the loop has closed.
 
-Its default is to end the process. What comes early is remembered, since the configuration may have been read
-before it was renewed; what comes as the process ends changes nothing any more.
+The default action of SIGHUP ends the process. An early SIGHUP is remembered, since the configuration may have
+been read before it changed; one that arrives while the process exits has no effect.
 """
 
 import signal
 from types import FrameType
 
-AT_EXIT = frozenset((signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
+BLOCKED_AT_EXIT = frozenset((signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
 
 
 class EarlyReload:
-    """Remembers a SIGHUP until the event loop has a handler of its own."""
+    """Remembers a SIGHUP that arrives before the event loop has a handler for it."""
 
     def __init__(self) -> None:
-        self.came = False
+        self.received = False
 
-    def listen(self) -> None:
-        signal.signal(signal.SIGHUP, self._remember)
+    def install(self) -> None:
+        signal.signal(signal.SIGHUP, self._on_signal)
 
-    def _remember(self, _number: int, _frame: FrameType | None) -> None:
-        self.came = True
+    def _on_signal(self, _number: int, _frame: FrameType | None) -> None:
+        self.received = True
 
 
 early_reload = EarlyReload()
 
 
-def block_at_exit() -> None:
-    """The loop takes its handlers along when it closes: until the process is gone, these signals wait."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, AT_EXIT)
+def block_signals_at_exit() -> None:
+    """Blocks signals until the process exits, since the event loop removes its handlers when it closes."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_AT_EXIT)
