--- a/benchmarks/resume.py
+++ b/benchmarks/resume.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from lifthead.deployment import script
-from lifthead.resume.notice import FLOOR
+from lifthead.resume.stall_detector import MIN_SILENCE
 from lifthead.standins import day, verify
 
 DAYS = {
@@ -60,7 +60,9 @@
                 ]
                 silent = {each["req"] for each in resumed if "silent" in each["cause"]}
                 best = [
-                    (FLOOR if each["req"] in silent else 0) + each["read_anew"] / READ_PER_S * 1e6 + STEP
+                    (MIN_SILENCE if each["req"] in silent else 0)
+                    + each["read_anew"] / READ_PER_S * 1e6
+                    + STEP
                     for each in resumed
                 ]
                 streams = {each["req"] for each in broken}
--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -145,7 +145,7 @@
 def _ask(run: Path, question: dict[str, Any], only: str = "") -> dict[str, Any]:
     from lifthead.fleet import admin
 
-    paths = {name: path for name, path in admin.sockets(run).items() if not only or name == only}
+    paths = {name: path for name, path in admin.socket_paths(run).items() if not only or name == only}
     if not paths:
         typer.echo(
             f"{run}: no router{f' {only!r}' if only else ''} there, expected its admin socket NAME.sock",
@@ -256,13 +256,13 @@
     as_json: AsJson = False,
 ) -> None:
     """Have every router drain engines, take that back, or tell how far it is; exit 1 if one did not."""
-    from lifthead.deployment.durations import micros
+    from lifthead.deployment.durations import parse_duration
 
     question: dict[str, Any] = {"ask": "drain engines", "undo": undo, "force": force}
     if selector:
         question["selector"] = selector
     try:
-        question["limit"] = micros(limit) if limit else 0
+        question["limit"] = parse_duration(limit) if limit else 0
     except ValueError as problem:
         typer.echo(f"--limit: {problem}", err=True)
         raise typer.Exit(2) from None
@@ -298,7 +298,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Restart engines and routers in turn, drained before and cold after; exit 1 if it could not go on."""
-    from lifthead.deployment.durations import micros
+    from lifthead.deployment.durations import parse_duration
     from lifthead.members import rolling
     from lifthead.members.drains import SelectorError, named
     from lifthead.members.roll import Plan, refusal
@@ -320,8 +320,8 @@
             if (engines and not restart) or (chosen and not restart_router):
                 raise ValueError("expected --restart for engines and --restart-router for routers")
             plan = Plan(
-                engines, chosen, floor, at_once, int(micros(limit)) if limit else 0, pause_over,
-                int(micros(back_within)),
+                engines, chosen, floor, at_once, int(parse_duration(limit)) if limit else 0, pause_over,
+                int(parse_duration(back_within)),
             )  # fmt: skip
             if why := refusal(plan, facts):
                 raise ValueError(why)
@@ -375,7 +375,7 @@
 
     fleet = _fleet(settings)
     try:
-        then, before = (listing(script.engines(path.read_text(), str(path))) for path in (file, now))
+        then, before = (listing(script.read_engines(path.read_text(), str(path))) for path in (file, now))
     except (script.ScriptError, OSError, UnicodeDecodeError) as problem:
         typer.echo(str(problem), err=True)
         raise typer.Exit(2) from None
--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -21,16 +21,16 @@
 from lifthead.daemon.resuming import ResumingHost
 from lifthead.deployment.fleet import Limits
 from lifthead.engines import codec
-from lifthead.engines.codec import ENDINGS, ListNews, Observation, StrangeError
-from lifthead.engines.link import Connection, Link
+from lifthead.engines.codec import OUTCOMES, ListUpdate, Observation, ProtocolError
+from lifthead.engines.link import Connection, ConnectionPool
 from lifthead.guard import RequestGuard, Rule
 from lifthead.hosting import now, wall_ahead
 from lifthead.http1 import HttpError
 from lifthead.interface import Demand, Deployment, Effect, Ending, EngineEntry, LoadReport
 from lifthead.members.weight import Lately
-from lifthead.resume.notice import Notice
-from lifthead.resume.rescue import Rescue
-from lifthead.resume.splice import SeamError, Splice
+from lifthead.resume.resume_queue import ResumeQueue
+from lifthead.resume.splice import Splice, SpliceError
+from lifthead.resume.stall_detector import StallDetector
 
 REST_WITHIN = 0.02  # seconds for the last bytes after a stream's end
 ASK_WITHIN = 1.0  # seconds that a probe may take; the module is told nothing of a lost one
@@ -66,14 +66,14 @@
         # Engines must not take the requests of this start for those of the one before.
         self._life = f"{time.time_ns() // 1_000_000:x}"
         self._streams: dict[int, ChatRequest] = {}  # whose stream has begun and may break, by serial
-        self.notice = Notice(int(limits.stalled_for))
-        self.rescue = Rescue()
+        self.notice = StallDetector(int(limits.stalled_for))
+        self.rescue = ResumeQueue()
         self.lately = Lately()
         self.router = decide(self, deployment)
 
     # What comes in.
 
-    def on_list(self, news: ListNews) -> None:
+    def on_list(self, news: ListUpdate) -> None:
         """A push of the list of engines. What is left out of a whole list counts as gone."""
         at, ahead = now(), wall_ahead()
         self.listed_at = at
@@ -98,8 +98,8 @@
             self._only({listed.name for listed in news.engines}, at)
         self.router.on_engines(entries, news.whole)
 
-    def _link(self, address: str) -> Link:
-        return Link(address, self.limits.connect_within / 1e6)
+    def _link(self, address: str) -> ConnectionPool:
+        return ConnectionPool(address, self.limits.connect_within / 1e6)
 
     def on_list_lost(self) -> None:
         self.router.on_engines_unavailable()
@@ -155,7 +155,7 @@
         if not self._answered(pending, "left"):
             return
         self.router.on_expired(pending.id)
-        self.rescue.settled(pending.serial)
+        self.rescue.remove(pending.serial)
         self._streams.pop(pending.serial, None)
         if pending.begun and pending.attempt:
             self.cancel(pending.id, pending.attempt.number)  # a stream that nobody reads
@@ -214,7 +214,7 @@
                 try:
                     # A kept connection that its engine closes can't be told from an attempt that ran.
                     may_repeat = attempt.reading or self._effects[pending.asked.group] is Effect.REPLAYABLE
-                    connection = await endpoint.link.take(fresh=not may_repeat or attempt.number > 0)
+                    connection = await endpoint.link.acquire(fresh=not may_repeat or attempt.number > 0)
                 except (OSError, TimeoutError):
                     observation = Observation.NO_CONNECTION
                 else:
@@ -231,7 +231,7 @@
             observation = Observation.STALLED if attempt.lost else Observation.CALLED_OFF
         except (OSError, EOFError):
             observation = Observation.CUT
-        except (HttpError, StrangeError, SeamError) as problem:
+        except (HttpError, ProtocolError, SpliceError) as problem:
             observation = Observation.STRANGE
             self._log.warning(
                 "strange answer", req=pending.name, engine=attempt.engine, said=str(problem)[:200]
@@ -251,25 +251,27 @@
         """Sends an attempt and reads its answer: what was seen, tokens found kept, the load told with it."""
         asked, address = pending.asked, endpoint.link.address
         if attempt.reading:
-            sent = codec.read_req(address, name, asked.client_id, pending.body)
+            sent = codec.prefill_request(address, name, asked.client_id, pending.body)
         else:
-            sent = codec.write_req(address, name, asked.client_id, asked.key, pending.body, pending.handle)
+            sent = codec.decode_request(
+                address, name, asked.client_id, asked.key, pending.body, pending.handle
+            )
         await connection.send(sent)
         pending.guard.written(attempt)
         self.router.on_written(pending.id, attempt.number, connection.uses > 0)
-        head = await connection.head()
+        head = await connection.read_head()
         endpoint.answered_for = max(endpoint.answered_for, attempt.sent_at)
         pending.guard.confirmed_by(attempt)
-        report = codec.load_report(head.headers)
+        report = codec.parse_load_report(head.headers)
         if head.status != 200:
-            await connection.rest()
-            seen = codec.refusal(head)
+            await connection.read_whole_body()
+            seen = codec.error_observation(head)
             if seen is Observation.STATE_GONE:
                 pending.handle = None
                 pending.guard.state_gone()
             return seen, 0, report
         if attempt.reading:
-            pending.handle, kept = codec.read_answer(await connection.rest())
+            pending.handle, kept = codec.parse_prefill_answer(await connection.read_whole_body())
             pending.kept = kept
             pending.guard.leased(attempt, now())
             return Observation.READ, kept, report
@@ -290,15 +292,15 @@
     ) -> tuple[Observation, int]:
         """Relays a writer's events; holds back what comes before the first text, so that until then another
         attempt is possible. With a splice, they go on from where the client's stream broke."""
-        events, gathered = codec.Events(), None if pending.asked.streamed else Gathered()
+        events, gathered = codec.EventStream(), None if pending.asked.streamed else Gathered()
         held_back: list[bytes] = []
         stalled = self.limits.stalled_for / 1e6
         guarded_at = 0.0
-        while data := await connection.more():
+        while data := await connection.read_body():
             tokens = events.tokens
             while data:
                 if pending.begun and not gathered and not splice:
-                    passes, looked_at = events.plain(data)
+                    passes, looked_at = events.split_text_events(data)
                     held_back.append(passes)
                     data = b""
                 else:  # one event at a time until the stream has begun
@@ -328,14 +330,14 @@
                 held_back.clear()
                 pending.written.add(ready)
                 if events.tokens > tokens:
-                    self.notice.text(pending.serial, now())
+                    self.notice.progressed(pending.serial, now())
                 if ready and not pending.reply.send(
                     chat.with_id(ready, f"{pending.name}:{pending.legs}:{events.tokens}")
                 ):
                     limit.reschedule(None)  # a slow client is not a stalled engine
-                    self.notice.rests(pending.serial)
+                    self.notice.client_blocked(pending.serial)
                     await pending.reply.room()
-                    self.notice.goes_on(pending.serial, now())
+                    self.notice.client_unblocked(pending.serial, now())
                     guarded_at = 0.0
                 if self._loop.time() > guarded_at + stalled / 8:
                     guarded_at = self._loop.time()
@@ -360,16 +362,16 @@
                 pending.reply.end(b"data: [DONE]\n\n")
         with contextlib.suppress(TimeoutError, OSError, HttpError):
             async with asyncio.timeout(REST_WITHIN):
-                await connection.rest()  # a whole answer's connection can be used again
-        return Observation.WRITTEN, codec.kept(events.usage)
+                await connection.read_whole_body()  # a whole answer's connection can be used again
+        return Observation.WRITTEN, codec.cached_tokens(events.usage)
 
-    def _count(self, pending: ChatRequest, events: codec.Events, gathered: bool) -> None:
+    def _count(self, pending: ChatRequest, events: codec.EventStream, gathered: bool) -> None:
         """Answer tokens of a leg that came to its end: by the engine's own word, else by its events."""
         told = events.usage.completion_tokens if events.usage else 0
-        written = events.tokens if gathered else pending.written.settle().tokens - pending.before
+        written = events.tokens if gathered else pending.written.parse().tokens - pending.before
         pending.made += told or written
         pending.sent_tokens = told or written if gathered or not pending.legs else pending.written.tokens
-        pending.kept = codec.kept(events.usage) or pending.kept
+        pending.kept = codec.cached_tokens(events.usage) or pending.kept
 
     def _begin(self, pending: ChatRequest, attempt: ChatAttempt, limit: asyncio.Timeout) -> None:
         at = now()
@@ -378,7 +380,7 @@
         self._releases.look_at(pending.guard)
         self.router.on_begun(pending.id, attempt.number, at - attempt.sent_at, pending.asked.streamed)
         if pending.legs:
-            self.rescue.settled(pending.serial)
+            self.rescue.remove(pending.serial)
             self.gauges.gap(at - pending.broken_at)
             self.gauges.broken(pending.cause, "resumed")
             self._log.info(
@@ -397,7 +399,7 @@
         if pending.asked.streamed and not pending.ended:
             limit.reschedule(None)
             self._streams[pending.serial] = pending
-            self.notice.begun(pending.serial, attempt.engine, at)
+            self.notice.started(pending.serial, attempt.engine, at)
             if not pending.reply.begun:
                 pending.reply.begin(self._headers(pending))
 
@@ -411,9 +413,9 @@
     ) -> None:
         """Tells how an attempt ended. A stream that broke in front of its client goes to the rescue, or ends
         with an error event."""
-        ending, mark = ENDINGS[observation]
+        ending, mark = OUTCOMES[observation]
         if observation is Observation.OUT_OF_TIME and pending.begun and pending.asked.streamed:
-            observation, (ending, mark) = Observation.STALLED, ENDINGS[Observation.STALLED]
+            observation, (ending, mark) = Observation.STALLED, OUTCOMES[Observation.STALLED]
             self._log.error(
                 "stream stalled: ended by the last guard", req=pending.name, engine=attempt.engine
             )
@@ -430,7 +432,7 @@
             elif not pending.ended:
                 waits = self._broken(pending, attempt, observation)
             else:  # its client left
-                pending.made += pending.written.settle().tokens - pending.before
+                pending.made += pending.written.parse().tokens - pending.before
                 pending.sent_tokens = pending.written.tokens
         final = ending is Ending.DONE or pending.ended != "" or waits
         with self._telling(pending):
@@ -463,19 +465,19 @@
         link = self.endpoints[engine].link
         for fresh in (False, True):
             asked_at = now()
-            if await link.ask(codec.release_req(link.address, attempt), RELEASE_WITHIN, fresh):
+            if await link.exchange(codec.release_request(link.address, attempt), RELEASE_WITHIN, fresh):
                 return asked_at
         self.gauges.releases_lost.inc()
         return 0
 
     async def _is_answered(self, engine: str, guard: RequestGuard) -> bool:
         link = self.endpoints[engine].link
-        return await link.ask(codec.probe_req(link.address), RUNS_WITHIN, fresh=True) is not None
+        return await link.exchange(codec.probe_request(link.address), RUNS_WITHIN, fresh=True) is not None
 
     async def _probe(self, engine: str) -> None:
         link = self.endpoints[engine].link
-        answer = await link.ask(codec.probe_req(link.address), ASK_WITHIN)
-        self.router.on_probed(engine, codec.load_report(answer[0].headers) if answer else None)
+        answer = await link.exchange(codec.probe_request(link.address), ASK_WITHIN)
+        self.router.on_probed(engine, codec.parse_load_report(answer[0].headers) if answer else None)
 
     # The end of a request.
 
--- a/lifthead/daemon/requests.py
+++ b/lifthead/daemon/requests.py
@@ -6,7 +6,7 @@
 
 from lifthead import hosting
 from lifthead.chat.codec import Asked
-from lifthead.resume.splice import Written
+from lifthead.resume.splice import SentAnswer
 
 
 @dataclass(slots=True, eq=False)
@@ -30,7 +30,7 @@
     first_at: int = 0
     sent: int = 0  # attempts, however often it was placed
     body: dict[str, Any] = field(default_factory=dict)  # of what is sent to engines now
-    written: Written = field(default_factory=Written)
+    written: SentAnswer = field(default_factory=SentAnswer)
     legs: int = 0  # times that the stream was placed again
     broken_at: int = 0
     cause: str = ""  # of the last break
--- a/lifthead/daemon/resuming.py
+++ b/lifthead/daemon/resuming.py
@@ -12,10 +12,10 @@
 from lifthead.daemon.requests import ChatAttempt, ChatRequest
 from lifthead.engines.codec import Observation
 from lifthead.hosting import Hosting, now
-from lifthead.resume.notice import Notice
-from lifthead.resume.rescue import Broken, Draining, Rescue, to_move
+from lifthead.resume.resume_queue import BrokenStream, DrainingStream, ResumeQueue, streams_to_move
 from lifthead.resume.splice import continuation
 from lifthead.resume.splice import obstacle as splice_obstacle
+from lifthead.resume.stall_detector import StallDetector
 
 LOOK_EVERY = 0.05  # seconds between looks at running streams
 
@@ -24,8 +24,8 @@
     """Added to by lifthead/daemon/host.py, which sets what is declared here."""
 
     gauges: Gauges
-    notice: Notice
-    rescue: Rescue
+    notice: StallDetector
+    rescue: ResumeQueue
     _log: Any
     _resumes: bool
     _streams: dict[int, ChatRequest]  # whose stream has begun and may break, by serial number
@@ -36,7 +36,7 @@
 
     def _broken(self, pending: ChatRequest, attempt: ChatAttempt, observation: Observation) -> bool:
         """A stream broke. True if it waits for another place; else its client has had an end."""
-        written = pending.written.settle()
+        written = pending.written.parse()
         pending.made += written.tokens - pending.before
         pending.sent_tokens, pending.before = written.tokens, written.tokens
         pending.broken_at, pending.cause = now(), attempt.lost or observation.name.lower()
@@ -46,7 +46,7 @@
             self.gauges.broken(pending.cause, "whole already")
             return False
         broken = self._as_broken(pending, attempt)
-        why = self.rescue.lost(broken) if self._resumes else "resume is off"
+        why = self.rescue.add(broken) if self._resumes else "resume is off"
         self._log.warning(
             "stream broken",
             req=pending.name,
@@ -65,7 +65,7 @@
 
     def _break_off(self, pending: ChatRequest, why: str) -> None:
         """The end of a begun stream that can't go on: an error event, never a silent end."""
-        self.rescue.settled(pending.serial)
+        self.rescue.remove(pending.serial)
         self._streams.pop(pending.serial, None)
         if self._answered(pending, "aborted"):
             self.gauges.broken(pending.cause or "stopped", "aborted")
@@ -73,8 +73,8 @@
 
     def _place(self) -> None:
         """Streams whose turn it is become requests of the module again, with the answer so far as prompt."""
-        self.rescue.running = len(self._streams) - self.rescue.waiting
-        for broken in self.rescue.next(now()):
+        self.rescue.running_streams = len(self._streams) - self.rescue.waiting_count
+        for broken in self.rescue.take_next(now()):
             pending = self._streams[broken.stream]
             asked, at = pending.asked, now()
             del self.pending_requests[pending.id]
@@ -82,22 +82,27 @@
             self.pending_requests[pending.id] = pending
             pending.legs, pending.attempts = pending.legs + 1, 0
             pending.body = continuation(asked.body, pending.written)
-            self.gauges.read_anew.inc(broken.to_read)
-            pending.read_anew += broken.to_read
-            self._tell(pending, self.rescue.budget(broken, at), broken.to_read, broken.left)
+            self.gauges.read_anew.inc(broken.prefill_tokens)
+            pending.read_anew += broken.prefill_tokens
+            self._tell(
+                pending,
+                self.rescue.first_token_budget(broken, at),
+                broken.prefill_tokens,
+                broken.remaining_tokens,
+            )
 
-    def _as_broken(self, pending: ChatRequest, attempt: ChatAttempt) -> Broken:
-        asked, written = pending.asked, pending.written.settle()
-        return Broken(
+    def _as_broken(self, pending: ChatRequest, attempt: ChatAttempt) -> BrokenStream:
+        asked, written = pending.asked, pending.written.parse()
+        return BrokenStream(
             stream=pending.serial,
             tenant=asked.tenant,
-            group=self._groups[asked.group],
-            written=written.tokens,
-            to_read=asked.prompt + written.tokens,
-            left=max(asked.max_out - written.tokens, 1),
-            times=pending.legs,
-            ran_at=attempt.sent_at,
-            obstacle=splice_obstacle(asked.body) or ("a tool call" if written.tools else ""),
+            request_class=self._groups[asked.group],
+            sent_tokens=written.tokens,
+            prefill_tokens=asked.prompt + written.tokens,
+            remaining_tokens=max(asked.max_out - written.tokens, 1),
+            resumes=pending.legs,
+            attempt_sent_at=attempt.sent_at,
+            obstacle=splice_obstacle(asked.body) or ("a tool call" if written.has_tool_call else ""),
             broken_at=now(),
         )
 
@@ -107,7 +112,7 @@
         attempt = pending.attempt if pending else None
         if not self._resumes or pending is None or attempt is None or not pending.begun or attempt.called_off:
             return False
-        return not self.rescue.refusal(self._as_broken(pending, attempt))
+        return not self.rescue.refusal_reason(self._as_broken(pending, attempt))
 
     def _lose(self, serial: int, cause: str) -> None:
         """Gives up a running stream's attempt: its connection is cut, and late bytes of it reach nobody."""
@@ -125,20 +130,22 @@
             late = self._loop.time() - then - LOOK_EVERY
             then = self._loop.time()
             if late > LOOK_EVERY:
-                self.notice.stalled(round(late * 1e6))
+                self.notice.router_stalled(round(late * 1e6))
                 continue  # what came meanwhile is read first
             self.check_held_states()
             at = now()
-            for loss in self.notice.lost(at):
+            for loss in self.notice.lost_streams(at):
                 self._lose(loss.stream, loss.cause)
-            for serial in to_move(self._outliving(), at, self.rescue.places - self.rescue.waiting):
+            for serial in streams_to_move(
+                self._outliving(), at, self.rescue.max_in_flight - self.rescue.waiting_count
+            ):
                 self._lose(serial, "drain")
-            for broken in self.rescue.too_late(at):
+            for broken in self.rescue.expire(at):
                 self._break_off(self._streams[broken.stream], "no place was free in time")
             self._place()
-            self.gauges.waiting.set(self.rescue.waiting)
+            self.gauges.waiting.set(self.rescue.waiting_count)
 
-    def _outliving(self) -> list[Draining]:
+    def _outliving(self) -> list[DrainingStream]:
         """Running streams at engines whose drain has a time limit, those that can be moved."""
         due = {
             name
@@ -153,6 +160,6 @@
             pace = (now() - attempt.sent_at) // attempt.tokens
             left = max(pending.asked.max_out - pending.written.tokens - attempt.tokens, 1)
             found.append(
-                Draining(serial, self.endpoints[attempt.engine].drains_by, left, pace, attempt.tokens)
+                DrainingStream(serial, self.endpoints[attempt.engine].drains_by, left, pace, attempt.tokens)
             )
         return found
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -27,8 +27,8 @@
 from lifthead.daemon.views import engine_views, work_at_engines
 from lifthead.deployment.derive import deployment
 from lifthead.deployment.fleet import EngineSpec, Fleet
-from lifthead.engines.codec import ListedEngine, ListNews
-from lifthead.engines.listing import follow
+from lifthead.engines.codec import ListedEngine, ListUpdate
+from lifthead.engines.listing import watch_engine_list
 from lifthead.fleet import admin, health
 from lifthead.http1 import Message
 from lifthead.ledger.disk import Directory
@@ -112,7 +112,7 @@
         assert self.roster
         self.on_source("file", of_specs(self.roster.now.engines), True)
 
-    def on_push(self, news: ListNews) -> None:
+    def on_push(self, news: ListUpdate) -> None:
         self.on_source("push", news.engines, news.whole)
         self._list_changed = True
 
@@ -158,14 +158,14 @@
             drained = {engine.name: engine for engine in self.view.changes(now())}
             changes = [drained.pop(engine.name, engine) for engine in changes] + list(drained.values())
         if changes or self.view.members:
-            self.host.on_list(ListNews(False, changes))
+            self.host.on_list(ListUpdate(False, changes))
 
-    def condition(self) -> health.Condition:
-        return health.Condition(
-            listed=self.host.listed_at > 0,
-            writers=self.host.ready_writers,
+    def condition(self) -> health.RouterStatus:
+        return health.RouterStatus(
+            engines_listed=self.host.listed_at > 0,
+            decode_engines=self.host.ready_writers,
             stopping=self.stopping.is_set(),
-            drained=self.drained,
+            drain_requested=self.drained,
             weight=self.weight.percent,
         )
 
@@ -212,7 +212,7 @@
 
     # What operators ask.
 
-    def answers(self) -> dict[str, admin.Answer]:
+    def answers(self) -> dict[str, admin.Handler]:
         return {
             "state": lambda _: self.state(),
             "engines": lambda _: engine_views(self.host),
@@ -247,9 +247,9 @@
             "name": self.spec.name,
             "zone": self.spec.zone,
             "pid": os.getpid(),
-            "state": condition.word,
+            "state": condition.agent_reply,
             "ready": condition.ready,
-            "why": condition.why,
+            "why": condition.reason,
             "reqs": len(self.host.pending_requests),
             "lately": {"ended": ended, "pushed_back": pushed_back, "missed": missed},
             "connections": self.clients.connections,
@@ -384,7 +384,9 @@
             service += [tasks.create_task(daemon.keeper.write()), tasks.create_task(daemon.keeper.export())]
         if list_url:
             service.append(
-                tasks.create_task(follow(list_url, name, daemon.on_push, daemon.host.on_list_lost, log))
+                tasks.create_task(
+                    watch_engine_list(list_url, name, daemon.on_push, daemon.host.on_list_lost, log)
+                )
             )
             service.append(tasks.create_task(daemon.keep_list()))
         if engine_file:
@@ -403,8 +405,8 @@
         # Listening to none until the health side can speak: a balancer never finds a port that lies.
         places = zip(
             (
-                functools.partial(health.agent, daemon.condition),
-                functools.partial(health.pages, daemon.condition, daemon.gauges.page),
+                functools.partial(health.serve_agent_check, daemon.condition),
+                functools.partial(health.serve_http, daemon.condition, daemon.gauges.page),
                 daemon.clients.connection,
             ),
             (spec.agent, spec.health, spec.listen),
@@ -476,7 +478,7 @@
             while not daemon.condition().ready:
                 await asyncio.sleep(0.02)
     except TimeoutError:
-        raise OSError(f"not ready after {READY_WITHIN:.0f} s: {daemon.condition().why}") from None
+        raise OSError(f"not ready after {READY_WITHIN:.0f} s: {daemon.condition().reason}") from None
 
 
 async def _desk(daemon: Daemon, path: Path) -> asyncio.Server:
--- a/lifthead/deployment/durations.py
+++ b/lifthead/deployment/durations.py
@@ -9,13 +9,13 @@
 _time = parsy.seq(_number, _unit.map(UNITS.get)).combine(lambda many, unit: many * unit).at_least(1).map(sum)
 
 
-class Micros(int):
+class Microseconds(int):
     """A length of time in whole microseconds."""
 
 
-def micros(text: str) -> Micros:
+def parse_duration(text: str) -> Microseconds:
     """Whole microseconds of a text like `1m30s`; ValueError says what was expected."""
     try:
-        return Micros(round(_time.parse(text.strip())))
+        return Microseconds(round(_time.parse(text.strip())))
     except parsy.ParseError:
         raise ValueError(f"expected a time such as 250ms, 1.5s or 2m30s, got {text!r}") from None
--- a/lifthead/deployment/fleet.py
+++ b/lifthead/deployment/fleet.py
@@ -5,14 +5,14 @@
 import msgspec
 from msgspec import Meta
 
-from lifthead.deployment.durations import Micros
+from lifthead.deployment.durations import Microseconds
 
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 Address = Annotated[str, Meta(pattern=r"^[A-Za-z0-9.\-]+:\d{1,5}$")]
-Above0 = Annotated[float, Meta(gt=0)]
-Part = Annotated[float, Meta(ge=0, le=1)]
+Positive = Annotated[float, Meta(gt=0)]
+Share = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
-Zero = Micros(0)
+ZERO = Microseconds(0)
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -35,7 +35,7 @@
     zone: Name
     cell: Annotated[int, Meta(ge=0)] = 0
     kind: Name
-    weight: Above0 = 1.0
+    weight: Positive = 1.0
 
 
 class Group(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -45,13 +45,13 @@
     models: list[Name]  # a req for one of these is of this group
     effect: Literal["replayable", "keyed", "non-replayable"] = "replayable"
     keyed_within: Literal["all", "zone", "cell"] = "all"
-    keyed_for: Micros = Micros(5_000_000)
-    target: Micros
-    target_per_1000: Micros = Zero
-    deadline: Micros
-    token_target: Micros = Micros(60_000)
-    importance: Above0 = 1.0
-    late_share: Part = 0.0
+    keyed_for: Microseconds = Microseconds(5_000_000)
+    target: Microseconds
+    target_per_1000: Microseconds = ZERO
+    deadline: Microseconds
+    token_target: Microseconds = Microseconds(60_000)
+    importance: Positive = 1.0
+    late_share: Share = 0.0
 
 
 class TenantSpec(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -59,7 +59,7 @@
 
     name: Name
     keys: Annotated[list[Annotated[str, Meta(min_length=8)]], Meta(min_length=1)]
-    share_per_s: Above0  # reqs a second, over all routers
+    share_per_s: Positive  # reqs a second, over all routers
 
 
 class RouterSpec(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -76,14 +76,14 @@
 class Rules(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """The figures of the rules, and what a router may do."""
 
-    drain_grace: Micros = Micros(250_000)
-    let_go_within: Micros = Micros(500_000)
-    cold_share: Part = 0.25
-    warm_within: Micros = Micros(14_000_000)
-    tip_multiple: Above0 = 2.5
-    overload_for: Micros = Micros(1_500_000)
+    drain_grace: Microseconds = Microseconds(250_000)
+    let_go_within: Microseconds = Microseconds(500_000)
+    cold_share: Share = 0.25
+    warm_within: Microseconds = Microseconds(14_000_000)
+    tip_multiple: Positive = 2.5
+    overload_for: Microseconds = Microseconds(1_500_000)
     max_forwards: Count = 5
-    max_hold_off: Micros = Micros(500_000)
+    max_hold_off: Microseconds = Microseconds(500_000)
     writers_read: bool = True
     resume: bool = True  # a stream whose writer is lost goes on at another
     probes: bool = False  # ask engines for their load besides what their answers say
@@ -94,36 +94,36 @@
 
     header_bytes: Count = 16_384
     body_bytes: Count = 4_194_304
-    header_within: Micros = Micros(5_000_000)  # from the first byte of a req's head to its last
-    body_within: Micros = Micros(20_000_000)
-    idle_for: Micros = Micros(75_000_000)
+    header_within: Microseconds = Microseconds(5_000_000)  # from the first byte of a req's head to its last
+    body_within: Microseconds = Microseconds(20_000_000)
+    idle_for: Microseconds = Microseconds(75_000_000)
     connections: Count = 20_000
     in_hand: Count = 10_000  # reqs taken and not yet answered
-    stalled_for: Micros = Micros(30_000_000)  # a begun stream without a byte: the last guard
-    stop_within: Micros = Micros(120_000_000)  # a stop ends what is left after this
-    stop_notice: Micros = Zero  # time between saying `drain` to balancers and taking no more
-    connect_within: Micros = Micros(250_000)
+    stalled_for: Microseconds = Microseconds(30_000_000)  # a begun stream without a byte: the last guard
+    stop_within: Microseconds = Microseconds(120_000_000)  # a stop ends what is left after this
+    stop_notice: Microseconds = ZERO  # time between saying `drain` to balancers and taking no more
+    connect_within: Microseconds = Microseconds(250_000)
 
 
-class LedgerTerms(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class LedgerSettings(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """How usage is written down. Only where the script says `ledger()`."""
 
     directory: str = ""  # "": ledger-NAME in the run directory
     period: Literal["month", "day"] = "month"
     zone: str = "UTC"  # time zone of the periods
     wait: bool = True  # the last event of an answer waits until its entry is on the disk
-    commit_every: Micros = Micros(50_000)  # where it does not wait: what a kill may lose
+    commit_every: Microseconds = Microseconds(50_000)  # where it does not wait: what a kill may lose
     when_unwritable: Literal["refuse", "unbilled"] = "refuse"
     export_to: str = ""  # URL under which batches are put
-    export_every: Micros = Micros(10_000_000)
+    export_every: Microseconds = Microseconds(10_000_000)
 
 
-class BudgetTerms(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class BudgetSettings(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """A tenant's budget of billed tokens a period, for all routers together."""
 
     tenant: Name
     tokens: Count
-    soft: Part = 0.8
+    soft: Share = 0.8
 
 
 class Headers(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -140,42 +140,42 @@
     kind: Name
     slots: Count = 32
     queue: Annotated[int, Meta(ge=0)] = 32
-    read_per_s: Above0 = 20_000.0  # prompt tokens
-    step: Micros = Micros(20_000)  # one token for each running answer
-    step_per_stream: Micros = Micros(100)
-    near_per_s: Above0 = 300_000.0  # state tokens within a cell
-    link_per_s: Above0 = 200_000.0  # over a cell's link, shared
-    zone_slower: Above0 = 2.0
-    held_for: Micros = Micros(5_000_000)  # a state that nobody takes or lets go of
+    read_per_s: Positive = 20_000.0  # prompt tokens
+    step: Microseconds = Microseconds(20_000)  # one token for each running answer
+    step_per_stream: Microseconds = Microseconds(100)
+    near_per_s: Positive = 300_000.0  # state tokens within a cell
+    link_per_s: Positive = 200_000.0  # over a cell's link, shared
+    zone_slower: Positive = 2.0
+    held_for: Microseconds = Microseconds(5_000_000)  # a state that nobody takes or lets go of
 
 
-class GroupMix(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class RequestMix(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """What one endpoint group's reqs of a crowd look like."""
 
     group: Name
-    share: Above0
+    share: Positive
     new_tokens: Count = 300  # mean; a session's next prompt holds all before
     max_tokens: Count = 32
     beginning_tokens: Annotated[int, Meta(ge=0)] = 1500
     beginnings: Count = 6
-    beginning_share: Part = 0.9
+    beginning_share: Share = 0.9
     turns: Count = 3
 
 
-class Crowd(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class ClientLoad(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """The clients of a day."""
 
-    per_s: Above0
-    length: Micros
-    mix: list[GroupMix]
+    per_s: Positive
+    length: Microseconds
+    mix: list[RequestMix]
     retries: Annotated[int, Meta(ge=0)] = 1
-    leaves: Part = 0.0  # share of reqs whose client goes away early
-    slow: Part = 0.0  # share of clients that read slowly
-    unstreamed: Part = 0.1
+    leaves: Share = 0.0  # share of reqs whose client goes away early
+    slow: Share = 0.0  # share of clients that read slowly
+    unstreamed: Share = 0.1
     usage: dict[str, float] = {}  # a tenant's part of the traffic; left out: by shares
 
 
-TROUBLES = Literal[
+FAULT_KINDS = Literal[
     "silent",
     "slow",
     "reset",
@@ -203,17 +203,17 @@
 ]
 
 
-class Trouble(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class FaultSpec(Entry, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """Something that goes wrong on a day. Which fields count depends on `what`: docs/days.md."""
 
-    what: TROUBLES
-    at: Micros
-    lasts: Micros = Micros(5_000_000)
+    what: FAULT_KINDS
+    at: Microseconds
+    lasts: Microseconds = Microseconds(5_000_000)
     engines: list[str] = []  # names, `zone:NAME`, `cell:N` or `kind:NAME`
     routers: list[str] = []
-    part: Part = 1.0  # share of answers, prompts or traffic that it meets
-    times: Above0 = 4.0  # how much slower, longer or more
-    limit: Micros = Zero  # of a drain: streams that would outlive it are moved
+    part: Share = 1.0  # share of answers, prompts or traffic that it meets
+    times: Positive = 4.0  # how much slower, longer or more
+    limit: Microseconds = ZERO  # of a drain: streams that would outlive it are moved
     group: str = ""
     tenant: str = ""
 
@@ -230,12 +230,12 @@
     rules: Rules = Rules()
     limits: Limits = Limits()
     headers: Headers = Headers()
-    ledger: LedgerTerms | None = None
-    budgets: dict[str, BudgetTerms] = {}
-    crowd: Crowd | None = None
-    troubles: list[Trouble] = []
+    ledger: LedgerSettings | None = None
+    budgets: dict[str, BudgetSettings] = {}
+    crowd: ClientLoad | None = None
+    troubles: list[FaultSpec] = []
 
-    def chosen(self, wanted: list[str]) -> list[str]:
+    def select_engines(self, wanted: list[str]) -> list[str]:
         """Engines by name, `zone:NAME`, `cell:N` or `kind:NAME`; all if none are named."""
         return [
             name
--- a/lifthead/deployment/script.py
+++ b/lifthead/deployment/script.py
@@ -15,7 +15,7 @@
 from starlark.values import BuiltinFunction, from_value, to_value
 
 from lifthead.deployment import fleet
-from lifthead.deployment.durations import Micros, micros
+from lifthead.deployment.durations import Microseconds, parse_duration
 
 MAX_BYTES = 1 << 20
 MAX_STEPS = 2_000_000
@@ -55,22 +55,22 @@
         "rules": _single(fleet.Rules, found, "rules"),
         "limits": _single(fleet.Limits, found, "limits"),
         "headers": _single(fleet.Headers, found, "headers"),
-        "ledger": _single(fleet.LedgerTerms, found, "ledger"),
-        "budget": _keyed(fleet.BudgetTerms, found.budgets, "tenant"),
-        "crowd": _single(fleet.Crowd, found, "crowd"),
+        "ledger": _single(fleet.LedgerSettings, found, "ledger"),
+        "budget": _keyed(fleet.BudgetSettings, found.budgets, "tenant"),
+        "crowd": _single(fleet.ClientLoad, found, "crowd"),
         "mix": lambda **fields: to_value({key: from_value(value) for key, value in fields.items()}),
         "trouble": lambda what=None, **fields: found.troubles.append(
-            _checked(fleet.Trouble, {"what": what, **fields}, "trouble")
+            _checked(fleet.FaultSpec, {"what": what, **fields}, "trouble")
         ),
     }
     _execute(text, name, places)
-    problem = inconsistency(found)
+    problem = find_inconsistency(found)
     if problem:
         raise ScriptError(f"{name}: {problem}")
     return found
 
 
-def engines(text: str, name: str) -> dict[str, fleet.EngineSpec]:
+def read_engines(text: str, name: str) -> dict[str, fleet.EngineSpec]:
     """The engines of a file that holds nothing else; `total(N)` guards against one that was cut short."""
     found: dict[str, fleet.EngineSpec] = {}
     totals: list[int] = []
@@ -120,8 +120,8 @@
 
 
 def _hook(kind: type, value: object) -> object:
-    if kind is Micros and isinstance(value, str):
-        return micros(value)
+    if kind is Microseconds and isinstance(value, str):
+        return parse_duration(value)
     raise ValueError(f"expected a time in quotes, such as '250ms', got {value!r}")
 
 
@@ -148,7 +148,7 @@
     return put
 
 
-def inconsistency(found: fleet.Fleet) -> str:
+def find_inconsistency(found: fleet.Fleet) -> str:
     """What does not fit together in a script whose parts are each well formed; "" if all does."""
     for need, what in (
         (found.kinds, "kind"),
--- a/lifthead/engines/codec.py
+++ b/lifthead/engines/codec.py
@@ -1,6 +1,6 @@
 """The engines' protocol to our words and back (docs/engine-protocol.md). Its names stop here.
 
-What an observation on the socket means is in one place, `ENDINGS`: which ending it is, and so whether it
+What an observation on the socket means is in one place, `OUTCOMES`: which ending it is, and so whether it
 proves that the attempt has not run. When in doubt, it may have run.
 """
 
@@ -37,7 +37,7 @@
 
 
 # Proven not run: UNREACHABLE, NOT_SENT, BUSY. All others may have run.
-ENDINGS: dict[Observation, tuple[Ending, int]] = {
+OUTCOMES: dict[Observation, tuple[Ending, int]] = {
     Observation.NO_CONNECTION: (Ending.UNREACHABLE, 0),
     Observation.STALE: (Ending.NOT_SENT, 0),
     Observation.CALLED_OFF: (Ending.CANCELLED, 0),
@@ -82,7 +82,7 @@
     return http1.head(f"POST {path} HTTP/1.1", fields) + data
 
 
-def read_req(host: str, forward: str, client_id: str, body: dict[str, Any]) -> bytes:
+def prefill_request(host: str, forward: str, client_id: str, body: dict[str, Any]) -> bytes:
     """To a reader: read the prompt, keep the state, answer with its handle."""
     asked = {
         key: value for key, value in body.items() if key not in ("stream_options", "max_completion_tokens")
@@ -91,7 +91,9 @@
     return _post("/v1/chat/completions", host, forward, client_id, asked, {})
 
 
-def write_req(host: str, forward: str, client_id: str, key: str, body: dict[str, Any], handle: Any) -> bytes:
+def decode_request(
+    host: str, forward: str, client_id: str, key: str, body: dict[str, Any], handle: Any
+) -> bytes:
     """To a writer: fetch the state of this handle (None: read the prompt there) and stream the answer."""
     asked = body | {"stream": True, "stream_options": {"include_usage": True}}
     if handle is not None:
@@ -103,12 +105,12 @@
     )
 
 
-def release_req(host: str, forward: str) -> bytes:
+def release_request(host: str, forward: str) -> bytes:
     """Extension: let go of what is or will be held for this forward."""
     return _post("/v1/kv/release", host, forward, "", {"request_id": forward}, {})
 
 
-def probe_req(host: str) -> bytes:
+def probe_request(host: str) -> bytes:
     return http1.head("GET /health HTTP/1.1", {"host": host, "endpoint-load-metrics-format": "JSON"})
 
 
@@ -148,25 +150,25 @@
 _decode_event = msgspec.json.Decoder(_Event).decode
 
 
-class StrangeError(Exception):
+class ProtocolError(Exception):
     """An engine's bytes are not the protocol."""
 
 
-def read_answer(body: bytes) -> tuple[dict[str, Any], int]:
+def parse_prefill_answer(body: bytes) -> tuple[dict[str, Any], int]:
     """A reader's handle and the prompt tokens that it found kept."""
     try:
         answer = _decode_read(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise StrangeError(str(problem)) from None
-    return answer.kv_transfer_params, kept(answer.usage)
+        raise ProtocolError(str(problem)) from None
+    return answer.kv_transfer_params, cached_tokens(answer.usage)
 
 
-def kept(usage: _Usage | None) -> int:
+def cached_tokens(usage: _Usage | None) -> int:
     details = usage.prompt_tokens_details if usage else None
     return max(details.cached_tokens or 0, 0) if details else 0
 
 
-def refusal(message: Message) -> Observation:
+def error_observation(message: Message) -> Observation:
     """What an answer other than 200 shows."""
     mark = message.headers.get(NOT_RUN, "")
     if mark == NO_STATE:
@@ -180,10 +182,10 @@
 _MARKS = (b"[DONE]", b'"usage":{', b'"usage": {', b'"error"', b"\r")
 
 
-class Events:
+class EventStream:
     """Cuts a streamed body into whole events, whatever the bytes' borders, and reads what they say."""
 
-    MOST = 1 << 20  # bytes of one event
+    MAX_EVENT_BYTES = 1 << 20  # bytes of one event
 
     def __init__(self) -> None:
         self._left = b""
@@ -191,7 +193,7 @@
         self.tokens = 0  # events with text
         self.usage: _Usage | None = None
 
-    def plain(self, data: bytes) -> tuple[bytes, bytes]:
+    def split_text_events(self, data: bytes) -> tuple[bytes, bytes]:
         """Whole events that may pass as they are, and what is left to `feed`: bytes that hold nothing but
         events of text are looked at as a whole and not one by one (docs/performance.md)."""
         if self._left:
@@ -212,8 +214,8 @@
         """Whole events as (bytes, whether text begins or goes on with it, whether it is only the usage)."""
         data = (self._left + data).replace(b"\r\n", b"\n") if self._left or b"\r" in data else data
         *whole, self._left = data.split(b"\n\n")
-        if len(self._left) > self.MOST:
-            raise StrangeError(f"an event is over {self.MOST} bytes")
+        if len(self._left) > self.MAX_EVENT_BYTES:
+            raise ProtocolError(f"an event is over {self.MAX_EVENT_BYTES} bytes")
         return [seen for event in whole if (seen := self._look(event)) is not None]
 
     def _look(self, event: bytes) -> tuple[bytes, bool, bool] | None:
@@ -232,9 +234,9 @@
         try:
             part = _decode_event(said)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-            raise StrangeError(str(problem)) from None
+            raise ProtocolError(str(problem)) from None
         if part.error is not None:
-            raise StrangeError("the engine sent an error event")
+            raise ProtocolError("the engine sent an error event")
         if part.usage is not None:
             self.usage = part.usage
         text = any(
@@ -246,12 +248,12 @@
 
 
 def continues_at(headers: Headers) -> int | None:
-    """Where the new text begins, if the engine says so; StrangeError if it says no number."""
+    """Where the new text begins, if the engine says so; ProtocolError if it says no number."""
     said = headers.get(CONTINUES_AT)
     if said is None:
         return None
     if not said.isdecimal():
-        raise StrangeError(f"{CONTINUES_AT}: {said!r:.40}")
+        raise ProtocolError(f"{CONTINUES_AT}: {said!r:.40}")
     return int(said)
 
 
@@ -265,7 +267,7 @@
 _decode_load = msgspec.json.Decoder(_Load).decode
 
 
-def load_report(headers: Headers) -> LoadReport | None:
+def parse_load_report(headers: Headers) -> LoadReport | None:
     """The ORCA load report of these headers, in its JSON or its text form; None if there is none that can be
     read. A figure that is no load (negative, not a number) is left out, the others stay."""
     form, _, said = headers.get("endpoint-load-metrics", "").strip().partition(" ")
@@ -322,29 +324,29 @@
     drains_by: int = 0  # wall clock, microseconds: a drain's time limit, 0 if it has none
 
 
-class ListNews(msgspec.Struct, frozen=True):
+class ListUpdate(msgspec.Struct, frozen=True):
     """One push: the whole list, or what changed."""
 
     whole: bool
     engines: list[ListedEngine]
 
 
-_decode_news = msgspec.json.Decoder(ListNews).decode
+_decode_list_update = msgspec.json.Decoder(ListUpdate).decode
 
 
-def list_news(line: bytes) -> ListNews:
-    """A pushed line of the list; StrangeError if it is not one (the list in hand is kept then)."""
+def parse_list_update(line: bytes) -> ListUpdate:
+    """A pushed line of the list; ProtocolError if it is not one (the list in hand is kept then)."""
     try:
-        news = _decode_news(line)
+        news = _decode_list_update(line)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise StrangeError(str(problem)) from None
+        raise ProtocolError(str(problem)) from None
     for engine in news.engines:
         if engine.readiness not in ("ready", "draining", "gone"):
-            raise StrangeError(f"engine {engine.name}: readiness {engine.readiness!r:.40}")
+            raise ProtocolError(f"engine {engine.name}: readiness {engine.readiness!r:.40}")
         try:
             http1.address_of(engine.address)
         except ValueError as problem:
-            raise StrangeError(f"engine {engine.name}: {problem}") from None
+            raise ProtocolError(f"engine {engine.name}: {problem}") from None
         if not (math.isfinite(engine.weight) and engine.weight > 0):
-            raise StrangeError(f"engine {engine.name}: weight {engine.weight}")
+            raise ProtocolError(f"engine {engine.name}: weight {engine.weight}")
     return news
--- a/lifthead/engines/link.py
+++ b/lifthead/engines/link.py
@@ -6,78 +6,80 @@
 from lifthead import http1, peek
 from lifthead.http1 import HttpError, Message
 
-READ = 65_536
-IDLE_FOR = 10.0  # seconds; engines commonly close later
-RESTS_FOR = 0.05  # seconds: a second answer that comes late must not be taken for that to the next request
-DOUBLES_IN = 10.0  # seconds in which the trust in kept connections doubles again
+READ_SIZE = 65_536
+MAX_IDLE = 10.0  # seconds; engines commonly close later
+MIN_IDLE = 0.05  # seconds: a second answer that comes late must not be taken for that to the next request
+DOUBLING_TIME = 10.0  # seconds in which the trust in kept connections doubles again
 
 
-class Lasting:
-    """How long connections may wait unused. The other end's limit is told, but machines on the way may drop
+class IdleLimit:
+    """How long connections may wait all_idle. The other end's limit is told, but machines on the way may drop
     them without a word: the next thing sent is reset then, and may have run. One reset that way halves the
     span that is trusted; it grows back with time. Times are seconds."""
 
-    def __init__(self, most: float = IDLE_FOR) -> None:
-        self._most = self._trusted = most
-        self._since = 0.0
+    def __init__(self, most: float = MAX_IDLE) -> None:
+        self._longest = self._current = most
+        self._shortened_at = 0.0
 
-    def span(self, now: float) -> float:
-        return min(self._trusted * 2 ** min((now - self._since) / DOUBLES_IN, 64), self._most)
+    def current(self, now: float) -> float:
+        return min(self._current * 2 ** min((now - self._shortened_at) / DOUBLING_TIME, 64), self._longest)
 
-    def broke(self, waited: float, now: float) -> None:
-        """A connection that had waited so long was gone when it was used."""
-        self._trusted, self._since = min(waited / 2, self.span(now)), now
+    def shorten(self, idle_time: float, now: float) -> None:
+        """A connection that had idle_time so long was gone when it was used."""
+        self._current, self._shortened_at = min(idle_time / 2, self.current(now)), now
 
 
-class UnwrittenError(ConnectionError):
+class NotSentError(ConnectionError):
     """The connection broke before the last byte of what was to be sent was written."""
 
 
-class Inflow(asyncio.StreamReader):
+class CountingReader(asyncio.StreamReader):
     """A stream that counts what came, so that bytes which nobody asked for can be told."""
 
-    came = 0
+    received = 0
 
     def feed_data(self, data: bytes) -> None:
-        self.came += len(data)
+        self.received += len(data)
         super().feed_data(data)
 
 
 class Connection:
     """One connection and the answer that is read from it."""
 
-    def __init__(self, reader: Inflow, writer: asyncio.StreamWriter, bounds: tuple[int, ...] = ()) -> None:
+    def __init__(
+        self, reader: CountingReader, writer: asyncio.StreamWriter, parser_limits: tuple[int, ...] = ()
+    ) -> None:
         self.reader, self.writer = reader, writer
-        self._bounds = bounds  # of a head and of a chunk, bytes
-        self._taken = 0
-        self.parser = http1.AnswerParser(*bounds)
+        self._parser_limits = parser_limits  # of a head and of a chunk, bytes
+        self._consumed = 0
+        self.parser = http1.AnswerParser(*parser_limits)
         self.opened_at = asyncio.get_running_loop().time()
         self.idle_since = 0.0
         self.uses = 0  # whole answers that came on it
-        self.waited = 0.0  # seconds unused before it was taken
-        self._came = 0  # bytes before the last sending
+        self.idle_time = 0.0  # seconds all_idle before it was taken
+        self._received_before = 0  # bytes before the last sending
 
     async def send(self, data: bytes) -> None:
-        """Writes it; UnwrittenError if the connection broke before the last byte was written, as far as that
+        """Writes it; NotSentError if the connection broke before the last byte was written, as far as that
         can be known: when in doubt it was."""
         transport = self.writer.transport
         if transport.is_closing() or self.reader.at_eof():
-            raise UnwrittenError("closed before it was written to")
-        self.parser = http1.AnswerParser(*self._bounds)
-        self._came = self.reader.came
+            raise NotSentError("closed before it was written to")
+        self.parser = http1.AnswerParser(*self._parser_limits)
+        self._received_before = self.reader.received
         self.writer.write(data)
         if transport.is_closing():  # asyncio's own loop writes at once: it was this that failed
-            raise UnwrittenError("broke while it was written to")
+            raise NotSentError("broke while it was written to")
         while transport.get_write_buffer_size():  # the rest waits for the peer to take what is before it
             await self.writer.drain()
             await asyncio.sleep(0.001)
 
     @property
-    def ended(self) -> bool:
+    def peer_closed(self) -> bool:
         """Whether the other end has ended its side, or the connection is broken."""
         return self.reader.at_eof() or self.reader.exception() is not None
 
-    def end_sending(self) -> bool:
+    def half_close(self) -> bool:
         """Ends this side alone. False where that can't be: it is closed, or some bytes were not sent yet."""
         transport = self.writer.transport
         if transport.is_closing() or transport.get_write_buffer_size():
@@ -88,12 +90,12 @@
             return False
         return True
 
-    async def ends(self, within: float, most: int) -> bool:
+    async def peer_closes(self, within: float, most: int) -> bool:
         """Whether the other end ends its side in so many seconds, after at most so many bytes."""
         left = most
         try:
             async with asyncio.timeout(within):
-                while left > 0 and (data := await self.reader.read(READ)):
+                while left > 0 and (data := await self.reader.read(READ_SIZE)):
                     left -= len(data)
         except TimeoutError:
             return False
@@ -102,11 +104,11 @@
         return left > 0
 
     async def _read(self) -> bytes:
-        data = await self.reader.read(READ)
-        self._taken += len(data)
+        data = await self.reader.read(READ_SIZE)
+        self._consumed += len(data)
         return data
 
-    async def more(self) -> bytes:
+    async def read_body(self) -> bytes:
         """Body bytes as they come, b"" at the end of the answer. ConnectionError if it ends before that."""
         while True:
             body = self.parser.body()
@@ -117,7 +119,7 @@
                 raise ConnectionResetError("ended too early")
             self.parser.feed(data)
 
-    async def head(self) -> Message:
+    async def read_head(self) -> Message:
         while self.parser.head is None:
             data = await self._read()
             if not data:
@@ -125,28 +127,28 @@
             self.parser.feed(data)
         return self.parser.head
 
-    async def rest(self, most: int = 1 << 22) -> bytes:
+    async def read_whole_body(self, most: int = 1 << 22) -> bytes:
         """The whole body; HttpError past `most` bytes."""
         parts, size = [], 0
-        while part := await self.more():
+        while part := await self.read_body():
             parts.append(part)
             size += len(part)
             if size > most:
                 raise HttpError(502, "an engine's answer is too large")
         return b"".join(parts)
 
-    async def ask(self, data: bytes) -> tuple[Message, bytes]:
+    async def exchange(self, data: bytes) -> tuple[Message, bytes]:
         """Sends a short question and returns its whole answer."""
         await self.send(data)
-        head = await self.head()
-        return head, await self.rest()
+        head = await self.read_head()
+        return head, await self.read_whole_body()
 
-    async def answers(self, question: bytes, within: float) -> bool:
+    async def is_alive(self, question: bytes, within: float) -> bool:
         """Whether a harmless question is answered on this connection in so many seconds. A connection that
-        rested may have fallen silent with no error: what is sent on it then never arrives."""
+        idle may have fallen silent with no error: what is sent on it then never arrives."""
         try:
             async with asyncio.timeout(within):
-                await self.ask(question)
+                await self.exchange(question)
         except (OSError, TimeoutError, HttpError):
             return False
         return self.reusable
@@ -156,122 +158,126 @@
         """Whether the next forward may go on it: the answer is whole, and nothing but it has come."""
         parser, head = self.parser, self.parser.head
         whole = parser.complete and not parser.surplus and head is not None and head.keep_alive
-        return whole and self.quiet
+        return whole and self.is_clean
 
     @property
     def answered(self) -> bool:
         """Whether anything came back for what was sent last."""
-        return self.reader.came > self._came
+        return self.reader.received > self._received_before
 
     @property
-    def quiet(self) -> bool:
+    def is_clean(self) -> bool:
         """Open at both ends, and without bytes that nobody asked for."""
         open_ = not (self.writer.transport.is_closing() or self.reader.at_eof())
-        return open_ and self.reader.came == self._taken
+        return open_ and self.reader.received == self._consumed
 
     def __str__(self) -> str:
-        """For the log: age, uses, how long it rested before this use, and whether anything came back."""
+        """For the log: age, uses, how long it idle before this use, and whether anything came back."""
         age_ms = (asyncio.get_running_loop().time() - self.opened_at) * 1e3
         answered = "yes" if self.answered else "no"
-        return f"age_ms={age_ms:.0f} uses={self.uses} rested_ms={self.waited * 1e3:.0f} answered={answered}"
+        return (
+            f"age_ms={age_ms:.0f} uses={self.uses} rested_ms={self.idle_time * 1e3:.0f} answered={answered}"
+        )
 
     def abort(self) -> None:
         self.writer.transport.abort()
 
 
-class Link:
+class ConnectionPool:
     """The way to one engine."""
 
     def __init__(
         self,
         address: str,
         connect_within: float,
-        lasting: Lasting | None = None,
-        bounds: tuple[int, ...] = (),
-        unused: dict[Connection, "Link"] | None = None,
+        idle_limit: IdleLimit | None = None,
+        parser_limits: tuple[int, ...] = (),
+        all_idle: dict[Connection, "ConnectionPool"] | None = None,
     ) -> None:
-        """`unused`: connections that wait at all links together, the one that waits longest first."""
+        """`all_idle`: connections that wait at all links together, the one that waits longest first."""
         self.address = address
-        self._lasting = lasting or Lasting()
-        self._bounds = bounds
+        self._idle_limit = idle_limit or IdleLimit()
+        self._parser_limits = parser_limits
         self._host, _, port = address.rpartition(":")
         self._port = int(port)
         self._connect_within = connect_within
         self._idle: deque[Connection] = deque()
-        self._unused = {} if unused is None else unused
+        self._all_idle = {} if all_idle is None else all_idle
 
-    async def take(self, fresh: bool) -> Connection:
+    async def acquire(self, fresh: bool) -> Connection:
         """A connection; OSError or TimeoutError if none can be made. `fresh`: not one that was used before,
         whose closing by the engine could not be told from a forward that ran."""
         now = asyncio.get_running_loop().time()
-        rested = [] if fresh else [each for each in self._idle if now - each.idle_since >= RESTS_FOR]
-        while rested:
-            connection = rested.pop()
+        idle = [] if fresh else [each for each in self._idle if now - each.idle_since >= MIN_IDLE]
+        while idle:
+            connection = idle.pop()
             self._idle.remove(connection)
-            del self._unused[connection]
-            connection.waited = now - connection.idle_since
-            lasts = connection.quiet and connection.waited < self._lasting.span(now)
-            if lasts and not peek.seen(connection.writer, peek.UNREAD):  # the loop may not have read its end
+            del self._all_idle[connection]
+            connection.idle_time = now - connection.idle_since
+            usable = connection.is_clean and connection.idle_time < self._idle_limit.current(now)
+            if usable and not peek.seen(connection.writer, peek.UNREAD):  # the loop may not have read its end
                 return connection
             connection.abort()
         loop = asyncio.get_running_loop()
-        reader = Inflow(limit=READ, loop=loop)
+        reader = CountingReader(limit=READ_SIZE, loop=loop)
         try:
             async with asyncio.timeout(self._connect_within):
                 transport, protocol = await loop.create_connection(
                     lambda: asyncio.StreamReaderProtocol(reader, loop=loop), self._host, self._port
                 )
         except ConnectionResetError:  # which says less than one that is refused
-            raise UnwrittenError("reset as it opened") from None
-        return Connection(reader, asyncio.StreamWriter(transport, protocol, reader, loop), self._bounds)
+            raise NotSentError("reset as it opened") from None
+        return Connection(
+            reader, asyncio.StreamWriter(transport, protocol, reader, loop), self._parser_limits
+        )
 
-    def sweep(self) -> None:
-        """Closes what waits unused and could not be used any more: each holds a descriptor."""
+    def close_expired(self) -> None:
+        """Closes what waits all_idle and could not be used any more: each holds a descriptor."""
         now = asyncio.get_running_loop().time()
         for connection in list(self._idle):
-            if not connection.quiet or now - connection.idle_since >= self._lasting.span(now):
+            if not connection.is_clean or now - connection.idle_since >= self._idle_limit.current(now):
                 self._idle.remove(connection)
-                del self._unused[connection]
+                del self._all_idle[connection]
                 connection.abort()
 
     @property
-    def idle(self) -> int:
+    def idle_count(self) -> int:
         return len(self._idle)
 
-    def drop_oldest(self) -> None:
+    def close_oldest(self) -> None:
         if self._idle:
             connection = self._idle.popleft()
-            del self._unused[connection]
+            del self._all_idle[connection]
             connection.abort()
 
-    def give(self, connection: Connection) -> None:
+    def put_back(self, connection: Connection) -> None:
         """Back after a whole answer; anything else is closed."""
         if connection.reusable:
             connection.idle_since = asyncio.get_running_loop().time()
             connection.uses += 1
             self._idle.append(connection)
-            self._unused[connection] = self
+            self._all_idle[connection] = self
         else:
             connection.abort()
 
-    def broke(self, connection: Connection) -> None:
+    def record_broken(self, connection: Connection) -> None:
         """A connection of this link broke under what was sent on it."""
         if connection.uses and not connection.answered:
-            self._lasting.broke(connection.waited, asyncio.get_running_loop().time())
+            self._idle_limit.shorten(connection.idle_time, asyncio.get_running_loop().time())
 
     def close(self) -> None:
         while self._idle:
-            self.drop_oldest()
+            self.close_oldest()
 
-    async def ask(self, data: bytes, within: float, fresh: bool = False) -> tuple[Message, bytes] | None:
+    async def exchange(self, data: bytes, within: float, fresh: bool = False) -> tuple[Message, bytes] | None:
         """One short question (a probe, a release); None if it was not answered in `within` seconds. `fresh`:
         on a connection of its own, as kept ones may have fallen silent."""
         connection = None
         try:
             async with asyncio.timeout(within):
-                connection = await self.take(fresh)
-                answer = await connection.ask(data)
-                self.give(connection)
+                connection = await self.acquire(fresh)
+                answer = await connection.exchange(data)
+                self.put_back(connection)
                 connection = None
                 return answer
         except (OSError, TimeoutError, HttpError):
--- a/lifthead/engines/listing.py
+++ b/lifthead/engines/listing.py
@@ -6,42 +6,42 @@
 from typing import Any
 
 from lifthead import http1
-from lifthead.engines.codec import ListNews, StrangeError, list_news
-from lifthead.engines.link import READ
+from lifthead.engines.codec import ListUpdate, ProtocolError, parse_list_update
+from lifthead.engines.link import READ_SIZE
 from lifthead.http1 import HttpError
 
-AGAIN_AFTER = 0.25  # seconds, doubled up to AGAIN_LIMIT while it can't be reached
-AGAIN_LIMIT = 4.0
-MOST_LINE = 8 << 20
+RETRY_DELAY = 0.25  # seconds, doubled up to MAX_RETRY_DELAY while it can't be reached
+MAX_RETRY_DELAY = 4.0
+MAX_LINE_BYTES = 8 << 20
 
 
-async def follow(
-    url: str, router: str, on_news: Callable[[ListNews], None], on_lost: Callable[[], None], log: Any
+async def watch_engine_list(
+    url: str, router: str, on_update: Callable[[ListUpdate], None], on_lost: Callable[[], None], log: Any
 ) -> None:
     """Never returns. A line that is no list is logged and leaves the view as it was."""
     address, _, path = url.removeprefix("http://").partition("/")
     host, _, port = address.rpartition(":")
-    wait = AGAIN_AFTER
+    wait = RETRY_DELAY
     while True:
         writer = None
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(http1.head(f"GET /{path} HTTP/1.1", {"host": address, "x-router": router}))
-            lines = http1.Lines(MOST_LINE)
+            lines = http1.Lines(MAX_LINE_BYTES)
             while not lines.answer.complete:
-                data = await reader.read(READ)
+                data = await reader.read(READ_SIZE)
                 if not data:
                     break
                 for line in filter(None, lines.feed(data)):
                     try:
-                        news = list_news(line)
-                    except StrangeError as problem:
+                        news = parse_list_update(line)
+                    except ProtocolError as problem:
                         log.warning(
                             "the list of engines is malformed: the last one stays", said=str(problem)[:200]
                         )
                         continue
-                    on_news(news)
-                    wait = AGAIN_AFTER
+                    on_update(news)
+                    wait = RETRY_DELAY
         except (OSError, HttpError) as problem:
             log.warning("the list of engines can't be followed: the last one stays", said=str(problem)[:200])
         finally:
@@ -50,4 +50,4 @@
                     writer.close()
         on_lost()
         await asyncio.sleep(wait)
-        wait = min(wait * 2, AGAIN_LIMIT)
+        wait = min(wait * 2, MAX_RETRY_DELAY)
--- a/lifthead/fleet/admin.py
+++ b/lifthead/fleet/admin.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-Answer = Callable[[dict[str, Any]], Any]
+Handler = Callable[[dict[str, Any]], Any]
 
 
 async def serve(
-    answers: dict[str, Answer], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    answers: dict[str, Handler], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     with contextlib.suppress(ConnectionError, ValueError):
         while line := await reader.readline():
@@ -59,7 +59,7 @@
     return dict(zip(paths, answers, strict=True))
 
 
-def listens(path: str | Path) -> bool:
+def is_listening(path: str | Path) -> bool:
     """Whether a process has this socket open, be it one that answers or not. A dead one's socket refuses."""
     with socket.socket(socket.AF_UNIX) as probe:
         probe.setblocking(False)
@@ -72,6 +72,6 @@
     return True
 
 
-def sockets(directory: str | Path) -> dict[str, Path]:
+def socket_paths(directory: str | Path) -> dict[str, Path]:
     """Admin sockets in a run directory, by router."""
     return {path.stem: path for path in sorted(Path(directory).glob("*.sock"))}
--- a/lifthead/fleet/health.py
+++ b/lifthead/fleet/health.py
@@ -10,49 +10,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Condition:
+class RouterStatus:
     """The facts that a router's word rests on."""
 
-    listed: bool  # a list of engines has come since the start
-    writers: int  # ready engines that write
+    engines_listed: bool  # a list of engines has come since the start
+    decode_engines: int  # ready engines that write
     stopping: bool
-    drained: bool  # an operator asked it to take no more
+    drain_requested: bool  # an operator asked it to take no more
     weight: int = 100  # percent of its usual traffic that it wants (weight.py)
 
     @property
     def ready(self) -> bool:
-        return self.listed and self.writers > 0 and not self.stopping and not self.drained
+        return (
+            self.engines_listed and self.decode_engines > 0 and not self.stopping and not self.drain_requested
+        )
 
     @property
-    def word(self) -> str:
+    def agent_reply(self) -> str:
         """Agent-check's: `ready`, `up N%` while it wants less, `drain`, `down`."""
-        if self.stopping or self.drained:
+        if self.stopping or self.drain_requested:
             return "drain"
-        if not self.listed or not self.writers:
+        if not self.engines_listed or not self.decode_engines:
             return "down"
         return "ready" if self.weight == 100 else f"up {self.weight}%"
 
     @property
-    def why(self) -> str:
-        if self.stopping or self.drained:
+    def reason(self) -> str:
+        if self.stopping or self.drain_requested:
             return "drains: takes no more"
-        if not self.listed:
+        if not self.engines_listed:
             return "no list of engines yet"
-        return "takes reqs" if self.writers else "no engine left that writes"
+        return "takes reqs" if self.decode_engines else "no engine left that writes"
 
 
-async def agent(
-    condition: Callable[[], Condition], _: asyncio.StreamReader, writer: asyncio.StreamWriter
+async def serve_agent_check(
+    condition: Callable[[], RouterStatus], _: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     """One agent-check: a word and a line's end, then closed."""
     with contextlib.suppress(ConnectionError):
-        writer.write(f"{condition().word}\n".encode())
+        writer.write(f"{condition().agent_reply}\n".encode())
         await writer.drain()
     writer.close()
 
 
-async def pages(
-    condition: Callable[[], Condition],
+async def serve_http(
+    condition: Callable[[], RouterStatus],
     metrics: Callable[[], bytes],
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
@@ -71,7 +73,7 @@
                 now = condition()
                 status, body = {
                     "/live": (200, b"live\n"),
-                    "/ready": (200 if now.ready else 503, f"{now.why}\n".encode()),
+                    "/ready": (200 if now.ready else 503, f"{now.reason}\n".encode()),
                     "/metrics": (200, b"" if path != "/metrics" else metrics()),
                 }.get(path, (404, b"expected /live, /ready or /metrics\n"))
                 fields = {
--- a/lifthead/hosting.py
+++ b/lifthead/hosting.py
@@ -19,7 +19,7 @@
 from lifthead import control
 from lifthead.chat.server import Reply
 from lifthead.engines.codec import PROVEN_NOT_RUN, Observation
-from lifthead.engines.link import Connection, Link
+from lifthead.engines.link import Connection, ConnectionPool
 from lifthead.guard import HELD_SLACK, Attempt, Refusal, RequestGuard, Rule, Violations, Work
 from lifthead.http1 import Message
 from lifthead.interface import Demand, Deployment
@@ -83,7 +83,7 @@
 class Endpoint:
     """An engine as the host knows it: how to get there, and whether it may get anything new."""
 
-    link: Link
+    link: ConnectionPool
     kind: str
     readiness: str
     told_at: int
@@ -117,7 +117,7 @@
         self._forgotten: deque[tuple[int, RequestGuard]] = deque()  # ... whose held states are still judged
         self.starts = StartTimes(wall_ahead())
 
-    def _link(self, address: str) -> Link:
+    def _link(self, address: str) -> ConnectionPool:
         raise NotImplementedError
 
     def _carry(self, pending: Any, attempt: Any, abandon_at: int) -> Coroutine[Any, Any, None]:
@@ -330,12 +330,12 @@
         if connection is None:
             return
         if observation in WHOLE:
-            endpoint.link.give(connection)
+            endpoint.link.put_back(connection)
             return
         may_hold = attempt.is_written and pending.guard.releases.open and not pending.begun
         if may_hold and observation not in ANSWERED:
-            attempt.end_shown = connection.ended
-            if not attempt.end_shown and connection.end_sending():
+            attempt.end_shown = connection.peer_closed
+            if not attempt.end_shown and connection.half_close():
                 self._ending[connection] = None
                 end = self._see_end(pending.guard, attempt, connection)
                 self._spawn(end, f"the end of a connection of {pending.guard.request}")
@@ -346,7 +346,7 @@
 
     async def _see_end(self, guard: RequestGuard, attempt: AttemptInFlight, connection: Connection) -> None:
         """Waits for the engine to end its side of a connection on which the sending has ended."""
-        if await connection.ends(END_WITHIN, END_BYTES) and connection in self._ending:
+        if await connection.peer_closes(END_WITHIN, END_BYTES) and connection in self._ending:
             guard.end_shown(attempt, now())
             self._releases.look_at(guard)
         self._ending.pop(connection, None)
--- a/lifthead/lab/command.py
+++ b/lifthead/lab/command.py
@@ -93,13 +93,13 @@
     as_json: AsJson = False,
 ) -> None:
     """Look for a bad day and shrink it; exit 1 if there is one."""
-    from lifthead.deployment.durations import micros
+    from lifthead.deployment.durations import parse_duration
     from lifthead.lab.run import Variant
     from lifthead.lab.search import Bounds, Found
     from lifthead.lab.search import search as look
 
     try:
-        bounds = Bounds(most=most, length=int(micros(length)), service=under)
+        bounds = Bounds(most=most, length=int(parse_duration(length)), service=under)
         found = look(Variant(str(file), control), bounds, tries, seed)
     except (ScriptError, ValueError, OSError) as problem:
         raise _fail(problem) from None
--- a/lifthead/lab/crowd.py
+++ b/lifthead/lab/crowd.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from lifthead.deployment.fleet import Fleet, GroupMix
+from lifthead.deployment.fleet import Fleet, RequestMix
 from lifthead.lab.clock import Clock
 from lifthead.lab.router import HOP, Hand, Router
 from lifthead.standins.crowd import MOST_PROMPT
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, eq=False)
 class Session:
-    mix: GroupMix
+    mix: RequestMix
     tenant: str
     name: str
     router: int
--- a/lifthead/lab/router.py
+++ b/lifthead/lab/router.py
@@ -9,12 +9,12 @@
 from lifthead import control
 from lifthead.deployment.derive import deployment
 from lifthead.deployment.fleet import EngineSpec, Fleet
-from lifthead.engines.codec import ENDINGS, Observation
+from lifthead.engines.codec import OUTCOMES, Observation
 from lifthead.interface import Demand, Ending, EngineEntry, LoadReport
 from lifthead.lab.clock import Clock
 from lifthead.lab.engine import Engine, Sent
-from lifthead.resume import notice
-from lifthead.resume.rescue import Broken, Rescue
+from lifthead.resume import stall_detector
+from lifthead.resume.resume_queue import BrokenStream, ResumeQueue
 
 HOP = 250  # microseconds that a message between two processes takes
 LOOK_EVERY = 50_000
@@ -52,7 +52,7 @@
         self.hands: dict[int, Hand] = {}
         self.streams: dict[int, Hand] = {}  # begun or waiting for another place, by serial
         self.readiness: dict[str, tuple[str, int]] = {}
-        self.rescue = Rescue()
+        self.rescue = ResumeQueue()
         self._next = 1
         start = deployment(self.fleet, self.name, hash_seed(self.seed, self.name, self.life))
         self.grace, self.groups = int(self.fleet.rules.drain_grace), start.groups
@@ -104,7 +104,7 @@
             return
         hand.ended = "left"
         self.control.on_expired(hand.id)
-        self.rescue.settled(hand.serial)
+        self.rescue.remove(hand.serial)
         self.streams.pop(hand.serial, None)
         if hand.begun and hand.out:
             self.cancel(hand.id, hand.out.number)
@@ -187,7 +187,7 @@
         if how != "done" and (hand.begun or hand.legs):
             how = "aborted"
         hand.ended = how
-        self.rescue.settled(hand.serial)
+        self.rescue.remove(hand.serial)
         self.streams.pop(hand.serial, None)
         self.clock.after(HOP, hand.ask.answered, hand, how, hold_off)
 
@@ -211,7 +211,7 @@
         self.control.on_probed(sent.engine.spec.name, report)
         self.control.on_begun(hand.id, sent.number, self.clock.now - sent.sent_at, ask.streamed)
         if hand.legs:
-            self.rescue.settled(hand.serial)
+            self.rescue.remove(hand.serial)
         elif ask.streamed:
             hand.first_at = self.clock.now
         if ask.streamed:
@@ -246,7 +246,7 @@
             hand.held = sent.engine, sent.id
         elif observation is Observation.STATE_GONE:
             hand.held = None
-        ending, mark = ENDINGS[observation]
+        ending, mark = OUTCOMES[observation]
         hand.out = None
         if hand.release_due and observation is not Observation.READ:
             hand.release_due = False
@@ -281,41 +281,46 @@
             self._answer(hand, "done")
             return False
         broken = self._as_broken(hand, sent)
-        why = self.rescue.lost(broken) if self.fleet.rules.resume else "resume is off"
+        why = self.rescue.add(broken) if self.fleet.rules.resume else "resume is off"
         if why:
             hand.begun = True  # its client has a part of it
             self._answer(hand, "aborted")
             return False
         self.streams[hand.serial] = hand
-        self.clock.at(self.rescue.latest(broken) + LOOK_EVERY, self._too_late, self.life)
+        self.clock.at(self.rescue.waits_until(broken) + LOOK_EVERY, self._too_late, self.life)
         return True
 
-    def _as_broken(self, hand: Hand, sent: Sent) -> Broken:
+    def _as_broken(self, hand: Hand, sent: Sent) -> BrokenStream:
         ask = hand.ask
-        return Broken(
+        return BrokenStream(
             hand.serial, ask.tenant, self.groups[ask.group], hand.written, ask.prompt + hand.written,
             max(ask.most - hand.written, 1), hand.legs, sent.sent_at, "", self.clock.now,
         )  # fmt: skip
 
     def _too_late(self, life: int) -> None:
         if life == self.life and self.up:
-            for broken in self.rescue.too_late(self.clock.now):
+            for broken in self.rescue.expire(self.clock.now):
                 self._answer(self.streams[broken.stream], "aborted")
             self._place_broken()
 
     def _place_broken(self) -> None:
-        self.rescue.running = len(self.streams) - self.rescue.waiting
-        for broken in self.rescue.next(self.clock.now):
+        self.rescue.running_streams = len(self.streams) - self.rescue.waiting_count
+        for broken in self.rescue.take_next(self.clock.now):
             hand = self.streams[broken.stream]
             self.hands.pop(hand.id, None)
             hand.id, self._next = self._next, self._next + 1
             self.hands[hand.id] = hand
             hand.legs, hand.forwards = hand.legs + 1, 0
-            self._place(hand, self.rescue.budget(broken, self.clock.now), broken.to_read, broken.left)
+            self._place(
+                hand,
+                self.rescue.first_token_budget(broken, self.clock.now),
+                broken.prefill_tokens,
+                broken.remaining_tokens,
+            )
 
     def mute(self, sent: Sent) -> None:
         """A single stream of a writer that writes others says nothing more."""
-        self.clock.after(NOTICED * notice.ONE_OF_MANY, self._lose, sent, "silent")
+        self.clock.after(NOTICED * stall_detector.SINGLE_STREAM_FACTOR, self._lose, sent, "silent")
         self.clock.after(self.fleet.limits.stalled_for, self._end, sent, Observation.STALLED)
 
     def _lose(self, sent: Sent, why: str) -> None:
@@ -323,19 +328,19 @@
         movable = (
             self.up and self.fleet.rules.resume and hand.out is sent and hand.begun and hand.ask.streamed
         )
-        if movable and not hand.ended and not self.rescue.refusal(self._as_broken(hand, sent)):
+        if movable and not hand.ended and not self.rescue.refusal_reason(self._as_broken(hand, sent)):
             sent.lost = why
             self.cancel(hand.id, sent.number)
 
     def lose(self, engine: Engine, why: str) -> None:
-        """Its streams are moved, those that can be: a while into a silence, as resume/notice.py would, and
-        where a drain's limit ends."""
+        """Its streams are moved, those that can be: a while into a silence, as resume/stall_detector.py does,
+        and where a drain's limit ends."""
         for hand in list(self.streams.values()):
             if hand.out and hand.out.engine is engine:
                 self._lose(hand.out, why)
 
 
-NOTICED = notice.FLOOR + LOOK_EVERY  # microseconds into a silence after which streams are taken for lost
+NOTICED = stall_detector.MIN_SILENCE + LOOK_EVERY  # microseconds of silence after which streams count as lost
 
 
 def hash_seed(seed: int, name: str, life: int) -> int:
--- a/lifthead/lab/search.py
+++ b/lifthead/lab/search.py
@@ -13,8 +13,8 @@
 from hypothesis.errors import NoSuchExample
 
 from lifthead.deployment import script
-from lifthead.deployment.durations import Micros
-from lifthead.deployment.fleet import Fleet, Trouble
+from lifthead.deployment.durations import Microseconds
+from lifthead.deployment.fleet import FaultSpec, Fleet
 from lifthead.lab.run import Variant
 from lifthead.lab.world import watched
 from lifthead.standins import verify
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Found:
-    troubles: list[Trouble]
+    troubles: list[FaultSpec]
     service: float
     breaches: list[str]
     tried: int
@@ -46,9 +46,9 @@
         return "\n".join(map(_line, self.troubles))
 
 
-def _line(trouble: Trouble) -> str:
+def _line(trouble: FaultSpec) -> str:
     plain, usual = msgspec.to_builtins(trouble, enc_hook=int), msgspec.to_builtins(
-        Trouble(what=trouble.what, at=trouble.at), enc_hook=int
+        FaultSpec(what=trouble.what, at=trouble.at), enc_hook=int
     )  # fmt: skip
     said = [f'"{trouble.what}"', f'at = "{int(trouble.at) // 1000}ms"']
     for key, value in plain.items():
@@ -58,28 +58,28 @@
     return f"trouble({', '.join(said)})".replace("'", '"')
 
 
-def days(fleet: Fleet, bounds: Bounds) -> st.SearchStrategy[list[Trouble]]:
+def days(fleet: Fleet, bounds: Bounds) -> st.SearchStrategy[list[FaultSpec]]:
     """Days of a fleet within the bounds; hypothesis makes them smaller towards few, early, short troubles
     of single engines."""
     cells = sorted({(spec.zone, spec.cell) for spec in fleet.engines.values()})
     places = [*fleet.engines, *(f"cell:{cell}" for _, cell in cells), *(f"zone:{zone}" for zone, _ in cells)]
-    times = st.integers(0, (bounds.length - 2_000_000) // STEP).map(lambda n: Micros(n * STEP))
-    lasting = st.integers(1, max(bounds.longest // STEP, 1)).map(lambda n: Micros(n * STEP))
+    times = st.integers(0, (bounds.length - 2_000_000) // STEP).map(lambda n: Microseconds(n * STEP))
+    lasting = st.integers(1, max(bounds.longest // STEP, 1)).map(lambda n: Microseconds(n * STEP))
     part, more = st.sampled_from([1.0, 0.5, 0.2]), st.sampled_from([2.0, 4.0, 8.0])
     engines = st.lists(st.sampled_from(list(dict.fromkeys(places))), min_size=1, max_size=2, unique=True)
-    one = st.builds(Trouble, what=st.sampled_from(AT_ENGINES), at=times, lasts=lasting, engines=engines,
+    one = st.builds(FaultSpec, what=st.sampled_from(AT_ENGINES), at=times, lasts=lasting, engines=engines,
                     part=part, times=more)  # fmt: skip
-    other = st.builds(Trouble, what=st.sampled_from(OTHERS), at=times, lasts=lasting, part=part, times=more,
+    other = st.builds(FaultSpec, what=st.sampled_from(OTHERS), at=times, lasts=lasting, part=part, times=more,
                       routers=st.sampled_from([[name] for name in fleet.routers]))  # fmt: skip
     return st.lists(st.one_of(one, other), min_size=1, max_size=bounds.most)
 
 
 def play(
-    fleet: Fleet, variant: Variant, troubles: list[Trouble], length: int, seed: int
+    fleet: Fleet, variant: Variant, troubles: list[FaultSpec], length: int, seed: int
 ) -> tuple[float, list[str]]:
     """A day's service, and its breaches of rules."""
     assert fleet.crowd
-    crowd = msgspec.structs.replace(fleet.crowd, length=Micros(length))
+    crowd = msgspec.structs.replace(fleet.crowd, length=Microseconds(length))
     day = msgspec.structs.replace(fleet, crowd=crowd, troubles=troubles)
     summary, traffic = watched(day, seed, variant.decide())
     return summary["service"], [f"rule {breach.rule}: {breach.why}" for breach in verify.breaches(traffic)]
@@ -90,7 +90,7 @@
     fleet = script.read(Path(variant.file))
     known: dict[bytes, tuple[float, list[str]]] = {}
 
-    def bad(troubles: list[Trouble]) -> bool:
+    def bad(troubles: list[FaultSpec]) -> bool:
         key = msgspec.json.encode(troubles, enc_hook=int)
         if key not in known:
             known[key] = play(fleet, variant, troubles, bounds.length, seed)
--- a/lifthead/lab/world.py
+++ b/lifthead/lab/world.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from lifthead import control
-from lifthead.deployment.fleet import Fleet, Trouble
+from lifthead.deployment.fleet import FaultSpec, Fleet
 from lifthead.lab.clock import Clock
 from lifthead.lab.crowd import Crowd, Trend
 from lifthead.lab.engine import Engine, Overheads
@@ -119,9 +119,9 @@
 
     # Troubles.
 
-    def _trouble(self, trouble: Trouble) -> None:
+    def _trouble(self, trouble: FaultSpec) -> None:
         self._tape("stage")("trouble", what=trouble.what, engines=trouble.engines, routers=trouble.routers)
-        names, lasts = self.fleet.chosen(trouble.engines), int(trouble.lasts)
+        names, lasts = self.fleet.select_engines(trouble.engines), int(trouble.lasts)
         if trouble.what in AT_ENGINES:
             for name in names:
                 self._fault(name, trouble.what, lasts, trouble.part, trouble.times, trouble.group)
@@ -172,7 +172,7 @@
         self.engines[name].start(cold)
         self._say("ready", name, started=cold)
 
-    def _havoc(self, names: list[str], trouble: Trouble, until: int) -> None:
+    def _havoc(self, names: list[str], trouble: FaultSpec, until: int) -> None:
         if self.clock.now >= until:
             return
         name, what = self.chance.choice(names), self.chance.choice(("kill", "silent", "reset", "reset"))
@@ -201,7 +201,7 @@
         self._tell(router, list(self.listed.values()), True)
         self._next_router(rest, lasts)
 
-    def _trend(self, trouble: Trouble) -> None:
+    def _trend(self, trouble: FaultSpec) -> None:
         assert self.fleet.crowd
         trend = {
             "burst": Trend(rate=trouble.times),
--- a/lifthead/ledger/export.py
+++ b/lifthead/ledger/export.py
@@ -12,7 +12,7 @@
 import pyarrow as pa
 import pyarrow.parquet as pq
 
-from lifthead.engines.link import Link
+from lifthead.engines.link import ConnectionPool
 from lifthead.http1 import head
 from lifthead.ledger.entries import Correction, Entry, Usage
 
@@ -141,9 +141,9 @@
         "x-batch-digest": manifest["digest"],
         "x-batch-manifest": json.dumps(manifest),
     }
-    link = Link(address, 1.0)
+    link = ConnectionPool(address, 1.0)
     try:
-        answer = await link.ask(head(f"PUT /{path}/{manifest['batch']} HTTP/1.1", fields) + data, within)
+        answer = await link.exchange(head(f"PUT /{path}/{manifest['batch']} HTTP/1.1", fields) + data, within)
     finally:
         link.close()
     return answer is not None and answer[0].status in (200, 201, 204)
--- a/lifthead/ledger/keeper.py
+++ b/lifthead/ledger/keeper.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lifthead.deployment.fleet import LedgerTerms
+from lifthead.deployment.fleet import LedgerSettings
 from lifthead.ledger import export
 from lifthead.ledger.book import RefusedError
 from lifthead.ledger.disk import Directory, Disk
@@ -45,7 +45,9 @@
 
 
 class Keeper:
-    def __init__(self, journal: Journal, terms: LedgerTerms, log: Any, lost: Callable[[int], None]) -> None:
+    def __init__(
+        self, journal: Journal, terms: LedgerSettings, log: Any, lost: Callable[[int], None]
+    ) -> None:
         self.journal, self.terms = journal, terms
         self.unwritable = False
         self.unbilled = 0
--- a/lifthead/members/rolling.py
+++ b/lifthead/members/rolling.py
@@ -104,14 +104,14 @@
     async def facts(self, returning: Collection[str] = ()) -> Facts:
         """All routers' views together: ready where all say so, what is out at any of them. Whether engines
         take connections is looked at for those that return."""
-        paths = admin.sockets(self._run)
+        paths = admin.socket_paths(self._run)
         states, views = await asyncio.gather(
             admin.ask_all(paths, {"ask": "state"}, ANSWER_WITHIN),
             admin.ask_all(paths, {"ask": "engines"}, ANSWER_WITHIN),
         )
         found = Facts({}, {})
         unanswered = {name for name in paths if states[name] is None or views[name] is None}
-        found.silent = {name for name in unanswered if admin.listens(paths[name])}
+        found.silent = {name for name in unanswered if admin.is_listening(paths[name])}
         for name, state in states.items():
             if state:
                 found.routers[name] = RouterSeen(state["ready"], state["reqs"], state["pid"])
@@ -193,7 +193,7 @@
             self.roll.look(await self._lookout.facts(returning), wall())
             asks, self._asks = self._asks, []
             for to, question in asks:
-                paths = admin.sockets(self._run)
+                paths = admin.socket_paths(self._run)
                 asked = {name: path for name, path in paths.items() if to in ("", name)}
                 await admin.ask_all(asked, question, ANSWER_WITHIN)
             await asyncio.sleep(LOOK_EVERY)
--- a/lifthead/members/roster.py
+++ b/lifthead/members/roster.py
@@ -35,7 +35,7 @@
         """A file's text. A faulty one leaves all as it was; one that takes too much away waits until it is
         offered with its digest as `confirmed`, or `confirm` is called."""
         try:
-            then = listing(script.engines(text, name))
+            then = listing(script.read_engines(text, name))
         except script.ScriptError as problem:
             self.rejected = str(problem)
             return Outcome(False, self.rejected, "", self.generation, {})
--- a/lifthead/node/engines.py
+++ b/lifthead/node/engines.py
@@ -41,7 +41,7 @@
 }
 
 # What came spoilt says nothing of the engine's machine, so it counts as an error of its program.
-ENDINGS = {**codec.ENDINGS, Observation.STRANGE: (Ending.ERROR, 0)}
+ENDINGS = {**codec.OUTCOMES, Observation.STRANGE: (Ending.ERROR, 0)}
 
 
 class _Read(msgspec.Struct):
--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -15,7 +15,7 @@
 from lifthead import control, hosting
 from lifthead.chat.server import Reply
 from lifthead.engines.codec import Observation
-from lifthead.engines.link import Connection, Lasting, Link, UnwrittenError
+from lifthead.engines.link import Connection, ConnectionPool, IdleLimit, NotSentError
 from lifthead.events import Event, EventLog, Record
 from lifthead.guard import RequestGuard, Rule, Work
 from lifthead.hosting import AttemptInFlight, Hosting, now, wall_ahead
@@ -68,9 +68,9 @@
         self.most_connections = start.engines
         self.shed: Callable[[], object] = bool  # has an idle client's connection closed
         self.current: Callable[[], bool] = lambda: True  # whether the list is what discovery has now
-        self._unused: dict[Connection, Link] = {}  # to engines, the one that waits longest first
+        self._unused: dict[Connection, ConnectionPool] = {}  # to engines, the one that waits longest first
         self.events = EventLog(log)
-        self._lasting = Lasting(start.idle_close / 1e6 * engines.IDLE_PART)
+        self._lasting = IdleLimit(start.idle_close / 1e6 * engines.IDLE_PART)
         self.router = control.Router(self, start.deployment)
 
     # What comes in.
@@ -90,9 +90,9 @@
             self._only({entry.engine for entry in entries}, at)
         self.router.on_engines(entries, news.whole)
 
-    def _link(self, address: str) -> Link:
+    def _link(self, address: str) -> ConnectionPool:
         bounds = (engines.HEAD_BYTES, engines.PIECE_BYTES)
-        return Link(address, self._start.connect_within / 1e6, self._lasting, bounds, self._unused)
+        return ConnectionPool(address, self._start.connect_within / 1e6, self._lasting, bounds, self._unused)
 
     async def answer(self, message: Message, reply: Reply) -> None:
         """A client's message, from its last byte to the end of its answer."""
@@ -176,7 +176,7 @@
                             pending, attempt, endpoint, connection, limit, abandon_at
                         )
                         break
-                    except UnwrittenError:  # reset before all of it was written: none of it was taken
+                    except NotSentError:  # reset before all of it was written: none of it was taken
                         observation = Observation.NO_CONNECTION
                         if connection:
                             connection.abort()
@@ -199,7 +199,7 @@
             log.exception("a forward to %s", attempt.engine)
         self._connections -= 1
         if connection and observation is Observation.CUT:
-            endpoint.link.broke(connection)
+            endpoint.link.record_broken(connection)
         elif connection and connection.uses and not connection.answered:
             endpoint.link.close()  # others that rest may be silent as well
         if observation not in (Observation.READ, Observation.WRITTEN):
@@ -214,17 +214,17 @@
         """A connection for an attempt. A kept one may have fallen silent with no error, so it is asked first:
         a release of what this request holds, which is nothing yet. A call that is to fetch a state can't ask
         that; its lease bounds the wait."""
-        connection = await endpoint.link.take(fresh)
+        connection = await endpoint.link.acquire(fresh)
         if not connection.uses or attempt.work is Work.FETCH:
             return connection
         question = engines.release(pending.guard.request)
-        if await connection.answers(question, CHECK_WITHIN):
+        if await connection.is_alive(question, CHECK_WITHIN):
             return connection
         self._report_event(pending, Event.CLOSED, attempt, f"reason=silent {connection}")
-        endpoint.link.broke(connection)
+        endpoint.link.record_broken(connection)
         connection.abort()
         endpoint.link.close()  # others that rest may be silent as well
-        return await endpoint.link.take(fresh=True)
+        return await endpoint.link.acquire(fresh=True)
 
     async def _exchange(
         self,
@@ -243,7 +243,7 @@
         pending.guard.written(attempt)
         self.router.on_written(pending.id, attempt.number, connection.uses > 0)
         self._note_event(pending, Event.WRITTEN, attempt)
-        head = await connection.head()
+        head = await connection.read_head()
         endpoint.heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, attempt.sent_at)
         self._note_event(pending, Event.CONFIRMED, attempt, f"status={head.status}")
         report = engines.report_with(head.headers)
@@ -252,7 +252,7 @@
         if observation is Observation.STATE_GONE:
             pending.guard.state_gone()
         if observation:
-            body = await connection.rest(engines.ANSWER_BYTES)
+            body = await connection.read_whole_body(engines.ANSWER_BYTES)
             if observation is not Observation.READ:
                 return observation, 0, report
             pending.guard.leased(attempt, now())
@@ -270,7 +270,7 @@
         """Relays a writer's events as they come. Until the first has, another attempt is possible."""
         events, guarded_at = engines.Events(), 0.0
         held_back = b""
-        while data := await connection.more():
+        while data := await connection.read_body():
             passes = held_back + events.feed(data)
             if not events.begun:
                 held_back = passes
@@ -332,7 +332,7 @@
         while (
             self._unused and self._connections + len(self._unused) + len(self._ending) > self.most_connections
         ):
-            next(iter(self._unused.values())).drop_oldest()
+            next(iter(self._unused.values())).close_oldest()
         while self._ending and self._connections + len(self._ending) > self.most_connections:
             self._drop_ending()
         if self._connections > self.most_connections:
@@ -420,7 +420,7 @@
         began = now()
         try:
             self._make_room()
-            answer = await endpoint.link.ask(data, within, fresh)
+            answer = await endpoint.link.exchange(data, within, fresh)
             if answer:
                 endpoint.heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, began)
             return answer
@@ -438,7 +438,7 @@
             await self.judge_held_states()
             past, in_use = now() - GONE_FOR, self._in_use()
             for name, endpoint in list(self.endpoints.items()):
-                endpoint.link.sweep()
+                endpoint.link.close_expired()
                 if endpoint.readiness == "gone" and endpoint.told_at < past and name not in in_use:
                     endpoint.link.close()
                     del self.endpoints[name]
--- a/lifthead/resume/splice.py
+++ b/lifthead/resume/splice.py
@@ -18,7 +18,7 @@
 COMPACT_AT = 65_536  # raw bytes kept of a stream before only their text is
 
 
-class SeamError(Exception):
+class SpliceError(Exception):
     """The new writer's text does not go on from what the client has."""
 
 
@@ -35,13 +35,13 @@
 
 
 @dataclass(slots=True)
-class Written:
+class SentAnswer:
     """What a client has been sent of one stream. Blocks are kept as they came and read only when needed."""
 
     text: str = ""
     tokens: int = 0
     head: dict[str, Any] = field(default_factory=dict)  # id, created and model of the first event
-    tools: bool = False  # a tool call has begun
+    has_tool_call: bool = False  # a tool call has begun
     finished: bool = False
     _blocks: list[bytes] = field(default_factory=list)
     _size: int = 0
@@ -51,9 +51,9 @@
         self._blocks.append(block)
         self._size += len(block)
         if self._size > COMPACT_AT:
-            self.settle()
+            self.parse()
 
-    def settle(self) -> "Written":
+    def parse(self) -> "SentAnswer":
         """Reads the blocks that came since the last call."""
         blocks, self._blocks, self._size = b"".join(self._blocks), [], 0
         for event in blocks.split(b"\n\n"):
@@ -69,12 +69,12 @@
                 if delta.get("content"):
                     self.text += delta["content"]
                     self.tokens += 1
-                self.tools = self.tools or bool(delta.get("tool_calls"))
+                self.has_tool_call = self.has_tool_call or bool(delta.get("tool_calls"))
                 self.finished = self.finished or choice.get("finish_reason") is not None
         return self
 
 
-def continuation(body: dict[str, Any], written: Written) -> dict[str, Any]:
+def continuation(body: dict[str, Any], written: SentAnswer) -> dict[str, Any]:
     """The req that asks another writer to go on: the answer so far as a last message that is to be continued.
     A bound on the answer's length is lowered by what was sent."""
     asked = dict(body)
@@ -91,9 +91,9 @@
     """The new writer's events as the old stream's. `starts_at`: characters of the answer so far after which
     the new text begins, where the engine says so; else it begins where the answer so far ends."""
 
-    def __init__(self, written: Written, stop: list[str], starts_at: int | None) -> None:
+    def __init__(self, written: SentAnswer, stop: list[str], starts_at: int | None) -> None:
         if starts_at is not None and not 0 <= starts_at <= len(written.text):
-            raise SeamError(f"it goes on from character {starts_at} of {len(written.text)}")
+            raise SpliceError(f"it goes on from character {starts_at} of {len(written.text)}")
         self._head, self._before = written.head, written.tokens
         self._again = written.text[starts_at:] if starts_at is not None else ""  # what it will say once more
         self._stop = stop
@@ -119,7 +119,7 @@
                 delta.pop("role", None)
                 new = new or choice.get("finish_reason") is not None or bool(delta.get("tool_calls"))
             if choice.get("finish_reason") and self._again:
-                raise SeamError("it ends before the answer so far does")
+                raise SpliceError("it ends before the answer so far does")
         usage = part.get("usage")
         if usage:
             part["usage"] = self._whole(usage)
@@ -130,7 +130,7 @@
         if self._again:
             same = min(len(content), len(self._again))
             if content[:same] != self._again[:same]:
-                raise SeamError("it says something else than the answer so far")
+                raise SpliceError("it says something else than the answer so far")
             self._again = self._again[same:]
             content = content[same:]
             if choice.get("logprobs") is not None:
--- a/lifthead/standins/crowd.py
+++ b/lifthead/standins/crowd.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from lifthead.deployment.fleet import Crowd, Fleet, GroupMix
+from lifthead.deployment.fleet import ClientLoad, Fleet, RequestMix
 from lifthead.standins.record import Record, now
 from lifthead.standins.text import answer, filler
 from lifthead.standins.wire import Client
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Session:
-    mix: GroupMix
+    mix: RequestMix
     tenant: str
     name: str
     router: int
@@ -46,7 +46,7 @@
     """Plays one crowd against routers that `addresses` gives, in turn, passing over those that refuse."""
 
     def __init__(
-        self, fleet: Fleet, crowd: Crowd, seed: int, record: Record, addresses: Callable[[], list[str]]
+        self, fleet: Fleet, crowd: ClientLoad, seed: int, record: Record, addresses: Callable[[], list[str]]
     ) -> None:
         self.fleet, self.crowd, self.record, self.addresses = fleet, crowd, record, addresses
         self.chance = random.Random(seed)
--- a/lifthead/standins/day.py
+++ b/lifthead/standins/day.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from lifthead.deployment.fleet import Fleet, Trouble
+from lifthead.deployment.fleet import FaultSpec, Fleet
 from lifthead.members.roll import Plan, Step
 from lifthead.members.rolling import Kept, Place, Rolling
 from lifthead.standins import verify
@@ -53,10 +53,10 @@
         unclean = {name: code for name, code in codes.items() if code != 0}
         return summary | ({"exit_codes": unclean} if unclean else {})
 
-    async def _trouble(self, trouble: Trouble) -> None:
+    async def _trouble(self, trouble: FaultSpec) -> None:
         await asyncio.sleep(trouble.at / 1e6)
         self.stage.record.put("trouble", what=trouble.what, engines=trouble.engines, routers=trouble.routers)
-        engines = self.fleet.chosen(trouble.engines)
+        engines = self.fleet.select_engines(trouble.engines)
         if trouble.what in AT_ENGINES:
             await asyncio.gather(
                 *(
@@ -87,7 +87,7 @@
         else:
             await self._crowd(trouble)
 
-    async def _down(self, name: str, trouble: Trouble) -> None:
+    async def _down(self, name: str, trouble: FaultSpec) -> None:
         """An engine is killed and comes back cold. `vanish`: it falls silent first, so that nobody is told by
         a reset; what it holds breaks only when it comes back."""
         if trouble.what == "vanish":
@@ -99,7 +99,7 @@
             await asyncio.sleep(trouble.lasts / 1e6)
         await self.stage.start_engine(name, cold=True)
 
-    async def _havoc(self, engines: list[str], trouble: Trouble) -> None:
+    async def _havoc(self, engines: list[str], trouble: FaultSpec) -> None:
         """Some `times` a second, one engine is killed, silenced for a while, or breaks streams."""
         until = now() + trouble.lasts
         async with asyncio.TaskGroup() as tasks:
@@ -121,7 +121,7 @@
         await self.stage.start_engine(name, cold=False)
         down.discard(name)
 
-    async def _roll(self, engines: list[str], trouble: Trouble) -> None:
+    async def _roll(self, engines: list[str], trouble: FaultSpec) -> None:
         """What `lifthead roll` does; `part` is the floor."""
 
         async def restart(step: Step) -> str:
@@ -137,7 +137,7 @@
             failed = await Rolling(self.out, place, Kept(plan, "", ""), say, restart).run()
         self.stage.record.put("roll", said=failed or "over")
 
-    async def _routers(self, trouble: Trouble) -> None:
+    async def _routers(self, trouble: FaultSpec) -> None:
         how = signal.SIGTERM if trouble.what == "router_stop" else signal.SIGKILL
         for name in trouble.routers or list(self.fleet.routers):
             if name in self.stage.routers:
@@ -145,7 +145,7 @@
                 await asyncio.sleep(trouble.lasts / 1e6)
                 await self.stage.start_router(name)
 
-    async def _crowd(self, trouble: Trouble) -> None:
+    async def _crowd(self, trouble: FaultSpec) -> None:
         trend = {
             "burst": Trend(rate=trouble.times),
             "flood": Trend(tenant=trouble.tenant, tenant_rate=self.fleet.crowd.per_s * trouble.times),
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -9,7 +9,7 @@
 
 from lifthead.daemon.serve import Daemon
 from lifthead.deployment import script
-from lifthead.engines.codec import ListedEngine, ListNews
+from lifthead.engines.codec import ListedEngine, ListUpdate
 from lifthead.standins.engine import Engine, Fault
 from lifthead.standins.record import Record, lines, now
 
@@ -77,7 +77,7 @@
     def tell(self, **readiness):
         specs = self.fleet.engines
         self.daemon.host.on_list(
-            ListNews(
+            ListUpdate(
                 True,
                 [
                     ListedEngine(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -31,7 +31,7 @@
 )  # fmt: skip
 from program import READY, Discovery, Program, ending, free_address, started
 
-from lifthead.engines.link import Link
+from lifthead.engines.link import ConnectionPool
 from lifthead.node.discovery import Follower
 from lifthead.node.serve import SHUT_AT, listener
 
@@ -370,7 +370,7 @@
         armed.append(True)
         return first[0], (await ask(node.address, chat(100, group=group, trace="t1")))[0]
 
-    take, sockets, armed = Link.take, [], []
+    take, sockets, armed = ConnectionPool.acquire, [], []
 
     async def ended(self, fresh):
         connection = await take(self, fresh)
@@ -385,7 +385,7 @@
                     each.shutdown(socket.SHUT_RDWR)
         return connection
 
-    monkeypatch.setattr(Link, "take", ended)
+    monkeypatch.setattr(ConnectionPool, "acquire", ended)
     one, two = Ends(), Ends()
     assert played(play, wr1=one, wr2=two) == (200, 200)
     came = [fields["x-trace-id"] for _, fields in one.came + two.came]
@@ -470,7 +470,7 @@
             await node.until(lambda: one.of("DELETE") or two.of("DELETE"))
             return time.monotonic() - began
 
-    take = Link.take
+    take = ConnectionPool.acquire
 
     async def never_up(self, fresh):
         if attempts and fresh is not None and asyncio.current_task() in attempts:
@@ -484,7 +484,7 @@
         return await take(self, fresh)
 
     attempts = []
-    monkeypatch.setattr(Link, "take", never_up)
+    monkeypatch.setattr(ConnectionPool, "acquire", never_up)
     one, two = Engine([reset, CLOSE]), Engine([reset, CLOSE])
     assert played(play, rd1=one, rd2=two, rd3=Engine([reset, CLOSE]), wr=Engine()) < 0.3 + 0.25
 
@@ -495,14 +495,14 @@
         await asyncio.sleep(0.3)
         return status
 
-    take = Link.take
+    take = ConnectionPool.acquire
 
     async def late(self, fresh):
         connection = await take(self, fresh)
         time.sleep(BUSY)
         return connection
 
-    monkeypatch.setattr(Link, "take", late)
+    monkeypatch.setattr(ConnectionPool, "acquire", late)
     wr = Engine()
     assert played(play, wr=wr) in (503, 504)
     assert len(wr.came) == 0
@@ -686,7 +686,7 @@
     async def play(node):
         return (await ask(node.address, chat(100)))[0]
 
-    take, taken = Link.take, []
+    take, taken = ConnectionPool.acquire, []
 
     async def slow_again(self, fresh):
         taken.append(fresh)
@@ -694,7 +694,7 @@
             await asyncio.sleep(slow)
         return await take(self, fresh)
 
-    monkeypatch.setattr(Link, "take", slow_again)
+    monkeypatch.setattr(ConnectionPool, "acquire", slow_again)
     one, two = (Engine([0.1, CLOSE], [STREAM]) for _ in range(2))
     one.scripts, two.scripts = [[0.1, CLOSE]], [[0.1, CLOSE]]
     settings = keyed(within, 500_000)
@@ -733,14 +733,14 @@
             held.set()
             return (await client.answer())[0], drains
 
-    take, waiting, held = Link.take, [], asyncio.Event()
+    take, waiting, held = ConnectionPool.acquire, [], asyncio.Event()
 
     async def slow(self, fresh):
         waiting.append(self)
         await held.wait()
         return await take(self, fresh)
 
-    monkeypatch.setattr(Link, "take", slow)
+    monkeypatch.setattr(ConnectionPool, "acquire", slow)
     wrs = {"wr1": Engine(), "wr2": Engine()}
     status, drains = played(play, **wrs)
     assert status == 200 and not wrs[drains].came
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -8,7 +8,7 @@
 import pytest
 from loopback import KEY, Loopback, ask, body, http, raw
 
-from lifthead.engines.codec import ListedEngine, ListNews
+from lifthead.engines.codec import ListedEngine, ListUpdate
 from lifthead.standins.cold import Warmth
 
 LONG = "fuel card " * 2500  # some 6,000 tokens: read at a reader
@@ -331,7 +331,7 @@
             loop.engines["wr"].warmth = Warmth(rules, time.monotonic_ns() // 1000, cold=True)
             started = time.time_ns() // 1000
             entry = ListedEngine("wr", loop.listed["wr"], "a", 0, "writer", started_at=started)
-            loop.daemon.host.on_list(ListNews(False, [entry]))
+            loop.daemon.host.on_list(ListUpdate(False, [entry]))
             answers = await asyncio.gather(*(ask(loop.address, body(str(n))) for n in range(1000)))
             ends = [status for status, _, _ in answers]
             assert len(ends) == 1000 and set(ends) <= {200, 502, 503, 504}
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lifthead.deployment import derive, script
-from lifthead.deployment.durations import micros
+from lifthead.deployment.durations import parse_duration
 
 GOOD = """
 kind("r", role = "read", memory = 1000)
@@ -70,10 +70,10 @@
 
 @pytest.mark.parametrize(("text", "value"), [("250ms", 250_000), ("1.5s", 1_500_000), ("2m30s", 150_000_000)])
 def test_times(text, value):
-    assert micros(text) == value
+    assert parse_duration(text) == value
 
 
 @pytest.mark.parametrize("text", ["", "5", "ms", "5 s s", "-1s", "1e3s"])
 def test_no_times(text):
     with pytest.raises(ValueError, match="expected a time"):
-        micros(text)
+        parse_duration(text)
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from lifthead.engines import codec
-from lifthead.engines.codec import ENDINGS, NOT_RUN, Events, Observation, StrangeError
+from lifthead.engines.codec import NOT_RUN, OUTCOMES, EventStream, Observation, ProtocolError
 from lifthead.http1 import AnswerParser, HttpError, Message, ReqParser
 from lifthead.interface import Ending
 
@@ -36,7 +36,7 @@
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12), st.booleans())
 def test_events_come_whole_whatever_the_borders(cuts, crlf):
-    events, seen = Events(), []
+    events, seen = EventStream(), []
     stream = STREAM.replace(b"\n", b"\r\n") if crlf else STREAM
     places = sorted({0, *cuts, len(stream)})
     for start, end in zip(places, places[1:], strict=False):
@@ -47,11 +47,11 @@
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12))
 def test_the_short_way_gives_the_same_bytes(cuts):
-    one, other, passed, looked = Events(), Events(), [], []
+    one, other, passed, looked = EventStream(), EventStream(), [], []
     places = sorted({0, *cuts, len(STREAM)})
     for start, end in zip(places, places[1:], strict=False):
         data = STREAM[start:end]
-        whole, rest = one.plain(data)
+        whole, rest = one.split_text_events(data)
         passed += [whole, *(event for event, _, _ in one.feed(rest))]
         looked += [event for event, _, _ in other.feed(data)]
     assert b"".join(passed) == b"".join(looked) and one.ended
@@ -63,13 +63,13 @@
         b"data: {\n\n",
         b"data: 5\n\n",
         b'data: {"error": {"message": "x"}}\n\n',
-        b"x" * (Events.MOST + 1),
+        b"x" * (EventStream.MAX_EVENT_BYTES + 1),
         b'data: "\xff"\n\n',
     ],
 )
 def test_what_is_no_stream_is_strange(data):
-    with pytest.raises(StrangeError):
-        Events().feed(data)
+    with pytest.raises(ProtocolError):
+        EventStream().feed(data)
 
 
 @pytest.mark.parametrize(
@@ -84,13 +84,16 @@
     ],
 )
 def test_what_a_refusal_proves(status, mark, observation):
-    assert codec.refusal(Message(status=status, headers={NOT_RUN: mark} if mark else {})) is observation
+    assert (
+        codec.error_observation(Message(status=status, headers={NOT_RUN: mark} if mark else {}))
+        is observation
+    )
 
 
 def test_only_what_is_certain_proves_not_run():
     proven = {
         observation
-        for observation, (ending, _) in ENDINGS.items()
+        for observation, (ending, _) in OUTCOMES.items()
         if ending in (Ending.BUSY, Ending.UNREACHABLE, Ending.NOT_SENT)
     }
     assert proven == {
@@ -99,7 +102,7 @@
         Observation.TURNED_AWAY,
         Observation.STATE_GONE,
     }
-    assert set(ENDINGS) == set(Observation)
+    assert set(OUTCOMES) == set(Observation)
 
 
 @pytest.mark.parametrize(
@@ -119,7 +122,7 @@
     ],
 )
 def test_load_reports(said, expected):
-    load = codec.load_report({"endpoint-load-metrics": said})
+    load = codec.parse_load_report({"endpoint-load-metrics": said})
     assert (load.held, load.queued, load.slots_used, load.memory_used, load.unread_thousands) == expected
 
 
@@ -127,16 +130,16 @@
     "said", ["", "JSON {", "JSON 5", "TEXT x", "TEXT mem_utilization=", "BIN xx", "JSON"]
 )
 def test_no_load_report(said):
-    assert codec.load_report({"endpoint-load-metrics": said}) is None
+    assert codec.parse_load_report({"endpoint-load-metrics": said}) is None
 
 
 @given(st.binary(max_size=200))
 def test_no_bytes_break_the_codecs(data):
-    for act in (Events().feed, codec.read_answer, codec.list_news):
-        with contextlib.suppress(StrangeError):
+    for act in (EventStream().feed, codec.parse_prefill_answer, codec.parse_list_update):
+        with contextlib.suppress(ProtocolError):
             act(data)
-    codec.load_report({"endpoint-load-metrics": "JSON " + data.decode("latin-1")})
-    codec.load_report({"endpoint-load-metrics": "TEXT " + data.decode("latin-1")})
+    codec.parse_load_report({"endpoint-load-metrics": "JSON " + data.decode("latin-1")})
+    codec.parse_load_report({"endpoint-load-metrics": "TEXT " + data.decode("latin-1")})
 
 
 @given(st.binary(max_size=400))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 
 from lifthead.deployment import script
 from lifthead.fleet import admin
-from lifthead.fleet.health import Condition
+from lifthead.fleet.health import RouterStatus
 from lifthead.standins.stage import Stage
 from lifthead.standins.wire import call
 
@@ -200,8 +200,8 @@
     ],
 )
 def test_the_word_to_balancers(facts, word, ready):
-    condition = Condition(*facts)
-    assert (condition.word, condition.ready) == (word, ready)
+    condition = RouterStatus(*facts)
+    assert (condition.agent_reply, condition.ready) == (word, ready)
 
 
 def test_a_port_or_a_ledger_that_another_has_is_one_line(tmp_path):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,8 +11,8 @@
 
 from lifthead import control
 from lifthead.deployment import script
-from lifthead.deployment.durations import Micros
-from lifthead.deployment.fleet import Trouble
+from lifthead.deployment.durations import Microseconds
+from lifthead.deployment.fleet import FaultSpec
 from lifthead.engines.codec import Observation
 from lifthead.lab.clock import Clock
 from lifthead.lab.engine import Engine, Overheads, Sent
@@ -172,15 +172,15 @@
 @pytest.mark.parametrize("what", [*AT_ENGINES, *OTHERS])
 def test_every_trouble_does_something_and_breaks_no_rule(tmp_path, what):
     fleet = script.read(Path(MINUTE))
-    fleet.crowd = msgspec.structs.replace(fleet.crowd, length=Micros(8_000_000))
+    fleet.crowd = msgspec.structs.replace(fleet.crowd, length=Microseconds(8_000_000))
     fleet.troubles = []
     quiet = World(fleet, 1).run()
     engines = ["cell:0"] if what != "flush" else []
     fleet.troubles = [
-        Trouble(
+        FaultSpec(
             what=what,
-            at=Micros(2_000_000),
-            lasts=Micros(3_000_000),
+            at=Microseconds(2_000_000),
+            lasts=Microseconds(3_000_000),
             engines=engines,
             tenant="kiosk",
             part=0.7,
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -8,7 +8,7 @@
 import pytest
 from onenode import HANG, HAS_READ, STREAM, TURNED_AWAY, Client, Engine, chat, played
 
-from lifthead.engines.link import Link
+from lifthead.engines.link import ConnectionPool
 
 
 def close(client):
@@ -37,13 +37,13 @@
             await node.until(lambda: not node.host.pending_requests)
             await asyncio.sleep(2 * SLOW)
 
-    take = Link.take
+    take = ConnectionPool.acquire
 
     async def slow(self, fresh):
         await asyncio.sleep(SLOW)
         return await take(self, fresh)
 
-    monkeypatch.setattr(Link, "take", slow)
+    monkeypatch.setattr(ConnectionPool, "acquire", slow)
     wr = Engine()
     played(play, wr=wr)
     assert not wr.came
@@ -127,7 +127,7 @@
         await node.until(lambda: not gone and not node.host.pending_requests)
         await asyncio.sleep(SLOW)
 
-    take, gone = Link.take, []
+    take, gone = ConnectionPool.acquire, []
 
     async def leaves(self, fresh):
         connection = await take(self, fresh)
@@ -136,7 +136,7 @@
         time.sleep(0.15)  # the loop is at other work
         return connection
 
-    monkeypatch.setattr(Link, "take", leaves)
+    monkeypatch.setattr(ConnectionPool, "acquire", leaves)
     rd, wr = Engine([HAS_READ]), Engine()
     played(play, rd=rd, wr=wr)
     assert not rd.of("POST") and not wr.of("POST")
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -18,8 +18,8 @@
 from test_fleet import lifthead
 
 from lifthead.deployment import script
-from lifthead.deployment.durations import Micros
-from lifthead.deployment.fleet import LedgerTerms
+from lifthead.deployment.durations import Microseconds
+from lifthead.deployment.fleet import LedgerSettings
 from lifthead.ledger import book, entries, export, journal, keeper, reconcile
 from lifthead.ledger.book import Book, RefusedError
 from lifthead.ledger.disk import Directory
@@ -449,7 +449,7 @@
 
     async def play():
         found = Journal(Directory(tmp_path), "one")
-        clerk = keeper.Keeper(found, LedgerTerms(), Log(), lambda lost: None)
+        clerk = keeper.Keeper(found, LedgerSettings(), Log(), lambda lost: None)
         begun, may_end, sync = threading.Event(), threading.Event(), found._disk.sync
 
         def slow(name):
@@ -484,7 +484,11 @@
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
         found = Journal(Directory(tmp_path / "ledger"), "one")
         found.append([used(number) for number in range(4)])
-        terms, sync, failed = LedgerTerms(export_to=url, export_every=Micros(10_000)), found._disk.sync, []
+        terms, sync, failed = (
+            LedgerSettings(export_to=url, export_every=Microseconds(10_000)),
+            found._disk.sync,
+            [],
+        )
 
         def full(name):
             failed.append(name)
@@ -532,7 +536,7 @@
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
         found = Journal(Directory(tmp_path / "ledger"), "one")
         found.append([used(number) for number in range(40)])
-        clerk = keeper.Keeper(found, LedgerTerms(export_to=url), Log(), lambda lost: None)
+        clerk = keeper.Keeper(found, LedgerSettings(export_to=url), Log(), lambda lost: None)
         for _ in range(200):
             if not await clerk.export_one() and not found.book.planned:
                 break
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -18,7 +18,7 @@
 
 from lifthead.daemon import serve
 from lifthead.deployment import script
-from lifthead.engines.codec import ListedEngine, ListNews
+from lifthead.engines.codec import ListedEngine, ListUpdate
 from lifthead.members.last import Last
 from lifthead.members.listing import change, listing
 from lifthead.members.roster import Roster
@@ -116,7 +116,7 @@
         try:
             store = Store(disk)
             for many in range(5, 11):
-                store.put(listing(script.engines(text(*TEN[-many:]), "f")))
+                store.put(listing(script.read_engines(text(*TEN[-many:]), "f")))
                 good.append(many)
         except CrashError:
             pass
@@ -126,9 +126,9 @@
 
 
 def test_changes_name_the_fields():
-    one = listing(script.engines(text("w1", "w2"), "f"))
+    one = listing(script.read_engines(text("w1", "w2"), "f"))
     two = listing(
-        script.engines(
+        script.read_engines(
             text("w1", "w2").replace('zone = "a"', 'zone = "b"', 1) + text("r9").replace("h:1", "h:9"), "f"
         )
     )
@@ -377,12 +377,12 @@
     async def play():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
             daemon = loop.daemon
-            daemon.on_push(ListNews(True, of_loopback(loop)))
+            daemon.on_push(ListUpdate(True, of_loopback(loop)))
             with monkeypatch.context() as patched:
                 patched.setattr(serve, "replace_file", full_disk)
                 said = daemon._drain_engines({"selector": "wr"})
             assert not said["taken"] and "No space" in said["why"]
-            daemon.on_push(ListNews(True, of_loopback(loop)))
+            daemon.on_push(ListUpdate(True, of_loopback(loop)))
             assert daemon.host.endpoints["wr"].readiness == "ready" and not daemon.drains.asked
             assert daemon._drain_engines({"selector": "wr"})["taken"]
             assert daemon.host.endpoints["wr"].readiness == "draining"
@@ -394,7 +394,7 @@
     async def play():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
             daemon, ahead = loop.daemon, loop.daemon.host.starts.wall_ahead
-            daemon.on_push(ListNews(True, of_loopback(loop)))
+            daemon.on_push(ListUpdate(True, of_loopback(loop)))
             for step in (-3_600_000_000, 3_600_000_000):
                 daemon.host.starts.wall_ahead = ahead - step  # as it was before
                 said = daemon._drain_engines({"selector": "wr", "limit": 5_000_000})
@@ -418,7 +418,7 @@
                 replace_file(path, data)
 
             monkeypatch.setattr(serve, "replace_file", full_at_first)
-            daemon.on_push(ListNews(True, of_loopback(loop)))
+            daemon.on_push(ListUpdate(True, of_loopback(loop)))
             loop.beats.append(loop._group.create_task(daemon.keep_list()))
             await loop.until(lambda: daemon._list_file.exists())
             kept = msgspec.json.decode(daemon._list_file.read_bytes(), type=Last)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -32,7 +32,7 @@
 )  # fmt: skip
 
 from lifthead.engines.codec import Observation
-from lifthead.engines.link import RESTS_FOR, Lasting, Link
+from lifthead.engines.link import MIN_IDLE, ConnectionPool, IdleLimit
 from lifthead.hosting import now, wall_ahead
 from lifthead.http1 import AnswerParser, HttpError, Message, ReqParser
 from lifthead.interface import Effect, Ending, LoadReport
@@ -343,9 +343,9 @@
     async def play(script):
         engine = Engine(script)
         server = await asyncio.start_server(engine.connection, "127.0.0.1", 0)
-        link = Link("{}:{}".format(*server.sockets[0].getsockname()), 1.0)
+        link = ConnectionPool("{}:{}".format(*server.sockets[0].getsockname()), 1.0)
         for _ in range(2):
-            assert (await link.ask(engines.PROBE, 1.0))[0].status == 202
+            assert (await link.exchange(engines.PROBE, 1.0))[0].status == 202
             await asyncio.sleep(0.05)
         link.close()
         server.close()
@@ -359,24 +359,24 @@
 def test_connections_that_wait_unused_are_swept_once_their_end_has_closed():
     async def play():
         server = await asyncio.start_server(Engine([HAS_READ, CLOSE]).connection, "127.0.0.1", 0)
-        link = Link("{}:{}".format(*server.sockets[0].getsockname()), 1.0)
-        await link.ask(engines.PROBE, 1.0)
+        link = ConnectionPool("{}:{}".format(*server.sockets[0].getsockname()), 1.0)
+        await link.exchange(engines.PROBE, 1.0)
         await asyncio.sleep(0.05)
-        link.sweep()
+        link.close_expired()
         server.close()
-        return link.idle
+        return link.idle_count
 
     assert asyncio.run(play()) == 0
 
 
 def test_trust_in_kept_connections_halves_with_a_reset_and_grows_back():
-    lasting = Lasting(8.0)
-    assert lasting.span(1000.0) == 8.0
-    lasting.broke(0.4, 1000.0)
-    assert lasting.span(1000.0) == 0.2
-    lasting.broke(5.0, 1000.0)  # one that was taken before
-    assert lasting.span(1000.0) == 0.2
-    assert lasting.span(1010.0) == pytest.approx(0.4) and lasting.span(2000.0) == 8.0
+    lasting = IdleLimit(8.0)
+    assert lasting.current(1000.0) == 8.0
+    lasting.shorten(0.4, 1000.0)
+    assert lasting.current(1000.0) == 0.2
+    lasting.shorten(5.0, 1000.0)  # one that was taken before
+    assert lasting.current(1000.0) == 0.2
+    assert lasting.current(1010.0) == pytest.approx(0.4) and lasting.current(2000.0) == 8.0
 
 
 def test_a_kept_connection_that_is_reset_at_the_next_req_costs_trust_and_no_req():
@@ -414,14 +414,14 @@
 
     async def play(node):
         link = node.host.endpoints["wr"].link
-        take = link.take
+        take = link.acquire
 
         async def late(fresh):
             connection = await take(fresh)
             await asyncio.sleep(0.05)  # so that the reset is there before anything is written
             return connection
 
-        link.take = late
+        link.acquire = late
         return (await ask(node.address, chat(100, group="pay")))[0], node.host.router.engines["wr"].failures
 
     wr = Rude()
@@ -450,7 +450,7 @@
     async def play(node):
         for n in range(3):
             assert (await ask(node.address, chat(5000, group="pay", trace=f"t{n}")))[0] == 200
-            await asyncio.sleep(1.2 * RESTS_FOR)  # a second answer may come late: a connection rests before
+            await asyncio.sleep(1.2 * MIN_IDLE)  # a second answer may come late: a connection rests before
         return rd.connections, wr.connections
 
     rd, wr = Engine([HAS_READ]), Engine()
@@ -719,14 +719,14 @@
         most = node.host.most_connections
         for n in range(3 * most):
             link = node.host.endpoints[f"wr{n % 4}"].link
-            connection = await link.take(fresh=True)
+            connection = await link.acquire(fresh=True)
             await connection.send(engines.PROBE)
-            await connection.rest()
-            link.give(connection)
+            await connection.read_whole_body()
+            link.put_back(connection)
             if n % 10 == 0:
                 node.host._make_room()
         await asyncio.gather(*(node.host._ask(f"wr{n % 4}", engines.PROBE, 2.0) for n in range(20)))
-        return most, sum(peer.link.idle for peer in node.host.endpoints.values())
+        return most, sum(peer.link.idle_count for peer in node.host.endpoints.values())
 
     most, idle = played(play, **{f"wr{n}": Engine([HAS_READ]) for n in range(4)}, sockets=100)
     assert idle <= most
@@ -735,10 +735,10 @@
 def test_room_among_engines_connections_is_made_without_a_look_at_each_engine():
     async def play(node):
         for n in (2, 0, 3, 1):
-            connection = await (link := node.host.endpoints[f"wr{n}"].link).take(fresh=True)
+            connection = await (link := node.host.endpoints[f"wr{n}"].link).acquire(fresh=True)
             await connection.send(engines.PROBE)
-            await connection.rest()
-            link.give(connection)
+            await connection.read_whole_body()
+            link.put_back(connection)
         node.host.most_connections, node.host.endpoints = 2, None  # the engines are not looked at
         node.host._make_room()
         node.host.endpoints = {}
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -11,12 +11,12 @@
 from loopback import SCRIPT, Loopback, body, http, raw
 from test_daemon import forwards, run, texts
 
-from lifthead.engines.codec import ListedEngine, ListNews
+from lifthead.engines.codec import ListedEngine, ListUpdate
 from lifthead.interface import Effect, EndpointGroup
-from lifthead.resume import notice, rescue, splice
-from lifthead.resume.notice import Notice
-from lifthead.resume.rescue import Broken, Draining, Rescue
-from lifthead.resume.splice import SeamError, Splice, Written
+from lifthead.resume import resume_queue, splice, stall_detector
+from lifthead.resume.resume_queue import BrokenStream, DrainingStream, ResumeQueue
+from lifthead.resume.splice import SentAnswer, Splice, SpliceError
+from lifthead.resume.stall_detector import StallDetector
 from lifthead.standins.text import answer as text_of_answer
 
 MS = 1000
@@ -36,10 +36,10 @@
 
 
 def written(text, cuts=()):
-    made = Written()
+    made = SentAnswer()
     for piece in pieces(text, cuts):
         made.add(b"data: " + event(piece) + b"\n\n")
-    return made.settle()
+    return made.parse()
 
 
 def spliced(seam, parts):
@@ -71,7 +71,7 @@
     seam = Splice(written(sent), [], at)
     try:
         new = spliced(seam, [*(event(part) for part in pieces(rest, cuts)), event(None, "stop")])
-    except SeamError:
+    except SpliceError:
         assert not rest.startswith(sent[at:])
     else:
         assert rest.startswith(sent[at:]) and sent + new == sent[:at] + rest
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("starts_at", [-1, 4])
 def test_a_start_outside_the_answer_so_far(starts_at):
-    with pytest.raises(SeamError):
+    with pytest.raises(SpliceError):
         Splice(written("abc"), [], starts_at)
 
 
@@ -115,10 +115,10 @@
 
 
 def test_long_streams_are_kept_as_text_alone():
-    sent = Written()
+    sent = SentAnswer()
     for _ in range(3000):
         sent.add(b"data: " + event("word ") + b"\n\n")
-    assert sent._size <= splice.COMPACT_AT and sent.settle().text == "word " * 3000 and sent.tokens == 3000
+    assert sent._size <= splice.COMPACT_AT and sent.parse().text == "word " * 3000 and sent.tokens == 3000
 
 
 @pytest.mark.parametrize(
@@ -138,26 +138,26 @@
 
 def fleet(*paces, streams=3, until=2 * S):
     """Engines e0, e1, ... that write a token every so many microseconds on each of their streams."""
-    watch = Notice(10 * S)
+    watch = StallDetector(10 * S)
     for at, pace in enumerate(paces):
         for number in range(streams):
-            watch.begun(at * 100 + number, f"e{at}", 0)
+            watch.started(at * 100 + number, f"e{at}", 0)
             for now in range(pace, until + 1, pace):
-                watch.text(at * 100 + number, now)
+                watch.progressed(at * 100 + number, now)
     return watch
 
 
 @pytest.mark.parametrize("pace", [10 * MS, 40 * MS, 200 * MS])
 def test_a_silent_engine_is_noticed_by_its_own_pace(pace):
     watch = fleet(pace, pace, pace)
-    patience = watch.patience("e0")
-    assert notice.FLOOR <= patience <= max(notice.FLOOR, 20 * pace)
+    patience = watch.silence_limit("e0")
+    assert stall_detector.MIN_SILENCE <= patience <= max(stall_detector.MIN_SILENCE, 20 * pace)
     for now in range(2 * S, 2 * S + 2 * patience, 10 * MS):  # e1 and e2 go on
         for stream in (100, 101, 102, 200, 201, 202):
-            watch.text(stream, now)
-        if watch.lost(now):
+            watch.progressed(stream, now)
+        if watch.lost_streams(now):
             break
-    lost = watch.lost(now)
+    lost = watch.lost_streams(now)
     assert {loss.stream for loss in lost} == {0, 1, 2} and {loss.cause for loss in lost} == {"engine silent"}
     assert patience < now - 2 * S <= patience + pace + 20 * MS
 
@@ -165,40 +165,42 @@
 def test_a_single_silent_stream_waits_longer():
     watch = fleet(20 * MS)
     for now in range(2 * S, 5 * S, 20 * MS):
-        watch.text(0, now)
-        watch.text(1, now)
-        lost = watch.lost(now)
+        watch.progressed(0, now)
+        watch.progressed(1, now)
+        lost = watch.lost_streams(now)
         if lost:
             break
     assert [(loss.stream, loss.cause) for loss in lost] == [(2, "stream silent")]
-    assert now - 2 * S > notice.ONE_OF_MANY * watch.patience("e0")
+    assert now - 2 * S > stall_detector.SINGLE_STREAM_FACTOR * watch.silence_limit("e0")
 
 
 @pytest.mark.parametrize(("silent", "moved"), [(1, True), (2, True), (3, False), (4, False)])
 def test_most_of_a_fleet_silent_at_once_says_nothing_of_one(silent, moved):
     watch = fleet(*[20 * MS] * 4)
-    now = 2 * S + notice.FLOOR + 50 * MS
+    now = 2 * S + stall_detector.MIN_SILENCE + 50 * MS
     for at in range(silent, 4):
         for number in range(3):
-            watch.text(at * 100 + number, now)
-    assert bool(watch.lost(now)) is moved
-    assert watch.lost(now + int(notice.FLOOR * notice.ALL_SILENT))  # but the last bound holds
+            watch.progressed(at * 100 + number, now)
+    assert bool(watch.lost_streams(now)) is moved
+    assert watch.lost_streams(
+        now + int(stall_detector.MIN_SILENCE * stall_detector.MOST_SILENT_FACTOR)
+    )  # but the last bound holds
 
 
 @pytest.mark.parametrize("what", ["loop", "client", "ended"])
 def test_what_is_not_the_writers_silence(what):
     watch = fleet(20 * MS, 20 * MS, streams=1)
-    later = 2 * S + notice.FLOOR + 100 * MS
-    watch.text(100, later)
+    later = 2 * S + stall_detector.MIN_SILENCE + 100 * MS
+    watch.progressed(100, later)
     if what == "loop":
-        watch.stalled(notice.FLOOR)
+        watch.router_stalled(stall_detector.MIN_SILENCE)
     elif what == "client":
-        watch.rests(0)
-        assert 0 not in {loss.stream for loss in watch.lost(2 * S + 60 * S)}
-        watch.goes_on(0, later)
+        watch.client_blocked(0)
+        assert 0 not in {loss.stream for loss in watch.lost_streams(2 * S + 60 * S)}
+        watch.client_unblocked(0, later)
     else:
         watch.ended(0)
-    assert not watch.lost(later)
+    assert not watch.lost_streams(later)
 
 
 def test_a_fleet_that_slows_down_is_not_moved_in_a_storm():
@@ -209,8 +211,8 @@
         now += 10 * MS
         if step % 40 == 39:
             for stream in [at * 100 + number for at in range(6) for number in range(3)]:
-                watch.text(stream, now)
-        moved += len(watch.lost(now))
+                watch.progressed(stream, now)
+        moved += len(watch.lost_streams(now))
     assert moved == 0
 
 
@@ -221,15 +223,15 @@
 
 
 def broken(stream, group=GROUP, tenant="t", written=5, times=0, ran_at=0, obstacle="", at=S):
-    return Broken(stream, tenant, group, written, 100 + written, 50, times, ran_at, obstacle, at)
+    return BrokenStream(stream, tenant, group, written, 100 + written, 50, times, ran_at, obstacle, at)
 
 
 @pytest.mark.parametrize(
     ("lost", "said"),
     [
         (broken(1), ""),
-        (broken(1, DEAR, times=rescue.MOST_FOR_REQ - 1), ""),
-        (broken(1, times=rescue.MOST_FOR_REQ), "placed again"),
+        (broken(1, DEAR, times=resume_queue.MAX_RESUMES - 1), ""),
+        (broken(1, times=resume_queue.MAX_RESUMES), "placed again"),
         (broken(1, ONCE), "non-replayable"),
         (broken(1, KEYED), ""),
         (broken(1, KEYED, at=3 * S), "keyed"),
@@ -237,44 +239,45 @@
     ],
 )
 def test_which_streams_may_be_placed_again(lost, said):
-    assert Rescue().lost(lost).startswith(said) and bool(Rescue().lost(lost)) == bool(said)
+    assert ResumeQueue().add(lost).startswith(said) and bool(ResumeQueue().add(lost)) == bool(said)
 
 
 def test_the_important_come_first_then_what_was_paid_for():
-    keeper = Rescue()
+    keeper = ResumeQueue()
     for lost in (
         broken(1, written=9),
         broken(2, DEAR, written=1),
         broken(3, written=90),
         broken(4, DEAR, written=7),
     ):
-        keeper.lost(lost)
-    assert [each.stream for each in keeper.next(S)] == [4, 2, 3, 1]
+        keeper.add(lost)
+    assert [each.stream for each in keeper.take_next(S)] == [4, 2, 3, 1]
 
 
 def test_budgets_and_the_end_of_waiting():
-    keeper = Rescue()
+    keeper = ResumeQueue()
     assert (
-        keeper.budget(broken(1), 2 * S) == 7 * S and keeper.budget(broken(1, KEYED), int(1.5 * S)) == S // 2
+        keeper.first_token_budget(broken(1), 2 * S) == 7 * S
+        and keeper.first_token_budget(broken(1, KEYED), int(1.5 * S)) == S // 2
     )
     for number in range(20):
-        keeper.lost(broken(number))
-    assert len(keeper.next(S)) == rescue.AT_ONCE and not keeper.next(S)
+        keeper.add(broken(number))
+    assert len(keeper.take_next(S)) == resume_queue.MIN_IN_FLIGHT and not keeper.take_next(S)
     assert (
-        not keeper.too_late(4 * S)
-        and len(keeper.too_late(5 * S)) == 20 - rescue.AT_ONCE
-        and not keeper.waiting
+        not keeper.expire(4 * S)
+        and len(keeper.expire(5 * S)) == 20 - resume_queue.MIN_IN_FLIGHT
+        and not keeper.waiting_count
     )
 
 
 @pytest.mark.parametrize(("room", "moved"), [(0, []), (1, [2]), (9, [2, 1])])
 def test_streams_that_would_outlive_a_drain(room, moved):
     going = [
-        Draining(1, 2 * S, 30, 50 * MS, 5),
-        Draining(2, 2 * S, 90, 50 * MS, 5),
-        Draining(3, 2 * S, 9, 50 * MS, 5),
+        DrainingStream(1, 2 * S, 30, 50 * MS, 5),
+        DrainingStream(2, 2 * S, 90, 50 * MS, 5),
+        DrainingStream(3, 2 * S, 9, 50 * MS, 5),
     ]
-    assert rescue.to_move(going, S, room) == moved
+    assert resume_queue.streams_to_move(going, S, room) == moved
 
 
 class RescueMachine(RuleBasedStateMachine):
@@ -282,7 +285,7 @@
 
     @initialize()
     def begin(self):
-        self.keeper, self.at, self.now = Rescue(), {}, S
+        self.keeper, self.at, self.now = ResumeQueue(), {}, S
         self.lost_ones = {}
 
     @rule(
@@ -294,38 +297,42 @@
     def breaks(self, stream, group, tenant, times):
         if self.at.get(stream, "running") == "running":
             lost = broken(stream, group, tenant, times=times, ran_at=self.now - S, at=self.now)
-            self.at[stream] = "ended" if self.keeper.lost(lost) else "waits"
+            self.at[stream] = "ended" if self.keeper.add(lost) else "waits"
             self.lost_ones[stream] = lost
 
     @rule(running=st.integers(0, 200))
     def place(self, running):
-        self.keeper.running = running
-        placed = self.keeper.next(self.now)
+        self.keeper.running_streams = running
+        placed = self.keeper.take_next(self.now)
         for each in placed:
-            assert self.at[each.stream] == "waits" and each.group is not ONCE
+            assert self.at[each.stream] == "waits" and each.request_class is not ONCE
             self.at[each.stream] = "placing"
-        assert len([1 for at in self.at.values() if at == "placing"]) <= self.keeper.places or not placed
+        assert (
+            len([1 for at in self.at.values() if at == "placing"]) <= self.keeper.max_in_flight or not placed
+        )
 
     @rule(stream=st.integers(0, 30), to=st.sampled_from(["running", "ended"]))
     def settles(self, stream, to):
         if self.at.get(stream) in ("placing", "waits"):
-            self.keeper.settled(stream)
+            self.keeper.remove(stream)
             self.at[stream] = to
 
     @rule(passed=st.integers(1, 5 * S))
     def time_goes_by(self, passed):
         self.now += passed
-        for each in self.keeper.too_late(self.now):
-            assert self.at[each.stream] == "waits" and self.now >= self.keeper.latest(each)
+        for each in self.keeper.expire(self.now):
+            assert self.at[each.stream] == "waits" and self.now >= self.keeper.waits_until(each)
             self.at[each.stream] = "ended"
         waiting = [self.lost_ones[stream] for stream, at in self.at.items() if at == "waits"]
-        assert all(self.now < self.keeper.latest(each) for each in waiting)
+        assert all(self.now < self.keeper.waits_until(each) for each in waiting)
 
     @invariant()
     def accounts_agree(self):
         if hasattr(self, "at"):
-            assert self.keeper.waiting == sum(at == "waits" for at in self.at.values())
-            assert set(self.keeper._placing) == {stream for stream, at in self.at.items() if at == "placing"}
+            assert self.keeper.waiting_count == sum(at == "waits" for at in self.at.values())
+            assert set(self.keeper._in_flight) == {
+                stream for stream, at in self.at.items() if at == "placing"
+            }
 
 
 TestRescue = RescueMachine.TestCase
@@ -410,7 +417,7 @@
             if "draining" in case:
                 by = time.time_ns() // 1000 + 200_000
                 loop.daemon.host.on_list(
-                    ListNews(
+                    ListUpdate(
                         False,
                         [
                             ListedEngine(
@@ -430,15 +437,15 @@
 def test_a_client_that_leaves_while_its_stream_waits(tmp_path):
     async def play():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
-            loop.daemon.host.rescue.next = lambda now: []  # no place is free
+            loop.daemon.host.rescue.take_next = lambda now: []  # no place is free
             loop.fault("wr", "reset", lasts=20)
             loop.fault("wr2", "reset", lasts=20)
             _, writer = await asyncio.open_connection(*loop.address.split(":"))
             writer.write(http(body("x", stream=True, max_tokens=300)))
-            await loop.until(lambda: loop.daemon.host.rescue.waiting == 1)
+            await loop.until(lambda: loop.daemon.host.rescue.waiting_count == 1)
             writer.close()
             await loop.until(lambda: not loop.daemon.host.pending_requests, 1.0)
-            assert not loop.daemon.host.rescue.waiting and not loop.daemon.host._streams
+            assert not loop.daemon.host.rescue.waiting_count and not loop.daemon.host._streams
 
     run(play())
 
@@ -454,7 +461,7 @@
             assert loop.engines["wr"].running
             by = time.time_ns() // 1000 + 500_000
             loop.daemon.host.on_list(
-                ListNews(
+                ListUpdate(
                     False,
                     [
                         ListedEngine(
