--- a/lifthead/engines/__init__.py
+++ b/lifthead/engines/__init__.py
@@ -1,1 +1,1 @@
-"""The engines' side: read, fetch and write, letting go, load reports, probes, and the list of engines."""
+"""The engine protocol: prefill, decode, release and probe requests, load reports, and the engine list."""
--- a/lifthead/engines/codec.py
+++ b/lifthead/engines/codec.py
@@ -1,7 +1,8 @@
-"""The engines' protocol to our words and back (docs/engine-protocol.md). Its names stop here.
+"""Translates between the engines' HTTP protocol (docs/engine-protocol.md) and the router's own types. The
+protocol's names don't appear in any other module.
 
-What an observation on the socket means is in one place, `OUTCOMES`: which ending it is, and so whether it
-proves that the attempt has not run. When in doubt, it may have run.
+What an observation on the socket means is defined in one place, `OUTCOMES`: the outcome of the attempt, and
+so whether it is proven that the attempt has not run. When in doubt, it may have run.
 """
 
 import math
@@ -14,29 +15,31 @@
 from lifthead.http1 import Headers, Message
 from lifthead.interface import Ending, LoadReport
 
-NOT_RUN = "x-lifthead-not-run"  # extension: "1" on an answer to work that was turned away before it was begun
+NOT_RUN = "x-lifthead-not-run"  # protocol extension: "1" on the rejection of work that was not started
 CONTINUES_AT = "x-lifthead-continues-at"  # extension: characters of the answer so far that it takes as given
-NO_STATE = "no-state"  # ... or this, when there was no read state to fetch
+NO_STATE = "no-state"  # the other value of NOT_RUN: there was no held state to fetch
 
 
 class Observation(Enum):
-    """What can be seen of a forward on its socket."""
+    """What can be seen of an attempt on its socket. The members' names go to logs, events and a metric."""
 
     NO_CONNECTION = "no connection was made in time"
-    STALE = "drained before the req was sent"
-    CALLED_OFF = "called off before or after it was sent"
-    OUT_OF_TIME = "out of time"
-    READ = "200 to a read, with a handle"
-    WRITTEN = "200 and the stream's end"
-    TURNED_AWAY = "429 or 503 with the mark that it was not run"
-    STATE_GONE = "409 with the mark that there was no state"
+    STALE = (
+        "not sent: its engine drains or is gone, its time is over, or the state that it needs was released"
+    )
+    CALLED_OFF = "cancelled before or after it was sent"
+    OUT_OF_TIME = "timed out"
+    READ = "200 to a prefill, with the handle of the held state"
+    WRITTEN = "200 and the end of the stream"
+    TURNED_AWAY = "429 or 503, marked as not run"
+    STATE_GONE = "409, marked as having no held state"
     REFUSED_UNMARKED = "any other status"
     CUT = "the connection broke, or ended too early"
-    STRANGE = "bytes that are not the protocol"
-    STALLED = "a begun stream without a byte for the last guard's time"
+    STRANGE = "bytes that violate the protocol"
+    STALLED = "no byte of a started stream for the longest time allowed"
 
 
-# Proven not run: UNREACHABLE, NOT_SENT, BUSY. All others may have run.
+# UNREACHABLE, NOT_SENT and BUSY prove that the attempt has not run. After any other it may have run.
 OUTCOMES: dict[Observation, tuple[Ending, int]] = {
     Observation.NO_CONNECTION: (Ending.UNREACHABLE, 0),
     Observation.STALE: (Ending.NOT_SENT, 0),
@@ -57,7 +60,7 @@
 )
 
 _encode = msgspec.json.Encoder().encode
-_READ_ELSEWHERE = {
+_REMOTE_DECODE = {
     "do_remote_decode": True,
     "do_remote_prefill": False,
     "remote_engine_id": None,
@@ -67,13 +70,15 @@
 }
 
 
-def _post(path: str, host: str, forward: str, client_id: str, body: dict[str, Any], extra: Headers) -> bytes:
+def _post(
+    path: str, host: str, attempt_id: str, client_id: str, body: dict[str, Any], extra: Headers
+) -> bytes:
     data = _encode(body)
     fields = {
         "host": host,
         "content-type": "application/json",
         "content-length": str(len(data)),
-        "x-request-id": forward,
+        "x-request-id": attempt_id,
         "endpoint-load-metrics-format": "JSON",
         **extra,
     }
@@ -82,49 +87,55 @@
     return http1.head(f"POST {path} HTTP/1.1", fields) + data
 
 
-def prefill_request(host: str, forward: str, client_id: str, body: dict[str, Any]) -> bytes:
-    """To a reader: read the prompt, keep the state, answer with its handle."""
-    asked = {
+def prefill_request(host: str, attempt_id: str, client_id: str, body: dict[str, Any]) -> bytes:
+    """Asks a prefill engine to prefill the prompt, hold the KV state and answer with its handle."""
+    prefill_body = {
         key: value for key, value in body.items() if key not in ("stream_options", "max_completion_tokens")
     }
-    asked |= {"stream": False, "max_tokens": 1, "kv_transfer_params": _READ_ELSEWHERE}
-    return _post("/v1/chat/completions", host, forward, client_id, asked, {})
+    prefill_body |= {"stream": False, "max_tokens": 1, "kv_transfer_params": _REMOTE_DECODE}
+    return _post("/v1/chat/completions", host, attempt_id, client_id, prefill_body, {})
 
 
 def decode_request(
-    host: str, forward: str, client_id: str, key: str, body: dict[str, Any], handle: Any
+    host: str, attempt_id: str, client_id: str, idempotency_key: str, body: dict[str, Any], handle: Any
 ) -> bytes:
-    """To a writer: fetch the state of this handle (None: read the prompt there) and stream the answer."""
-    asked = body | {"stream": True, "stream_options": {"include_usage": True}}
+    """Asks a decode engine to fetch the held state of this handle (None: to prefill the prompt itself) and to
+    stream the answer."""
+    decode_body = body | {"stream": True, "stream_options": {"include_usage": True}}
     if handle is not None:
-        asked["kv_transfer_params"] = handle
+        decode_body["kv_transfer_params"] = handle
     else:
-        asked.pop("kv_transfer_params", None)
+        decode_body.pop("kv_transfer_params", None)
     return _post(
-        "/v1/chat/completions", host, forward, client_id, asked, {"idempotency-key": key} if key else {}
+        "/v1/chat/completions",
+        host,
+        attempt_id,
+        client_id,
+        decode_body,
+        {"idempotency-key": idempotency_key} if idempotency_key else {},
     )
 
 
-def release_request(host: str, forward: str) -> bytes:
-    """Extension: let go of what is or will be held for this forward."""
-    return _post("/v1/kv/release", host, forward, "", {"request_id": forward}, {})
+def release_request(host: str, attempt_id: str) -> bytes:
+    """Protocol extension: asks an engine to release the state that it holds or will hold for this attempt."""
+    return _post("/v1/kv/release", host, attempt_id, "", {"request_id": attempt_id}, {})
 
 
 def probe_request(host: str) -> bytes:
     return http1.head("GET /health HTTP/1.1", {"host": host, "endpoint-load-metrics-format": "JSON"})
 
 
-class _Details(msgspec.Struct):
+class _PromptDetails(msgspec.Struct):
     cached_tokens: int | None = 0
 
 
 class _Usage(msgspec.Struct):
     prompt_tokens: int = 0
     completion_tokens: int = 0
-    prompt_tokens_details: _Details | None = None
+    prompt_tokens_details: _PromptDetails | None = None
 
 
-class _ReadAnswer(msgspec.Struct):
+class _PrefillAnswer(msgspec.Struct):
     kv_transfer_params: dict[str, Any]
     usage: _Usage | None = None
 
@@ -146,30 +157,31 @@
     error: Any = None
 
 
-_decode_read = msgspec.json.Decoder(_ReadAnswer).decode
+_decode_prefill_answer = msgspec.json.Decoder(_PrefillAnswer).decode
 _decode_event = msgspec.json.Decoder(_Event).decode
 
 
 class ProtocolError(Exception):
-    """An engine's bytes are not the protocol."""
+    """The bytes from an engine, or from the list service, violate the protocol."""
 
 
 def parse_prefill_answer(body: bytes) -> tuple[dict[str, Any], int]:
-    """A reader's handle and the prompt tokens that it found kept."""
+    """The handle of the held state, and the prompt tokens that were in the engine's prefix cache."""
     try:
-        answer = _decode_read(body)
+        answer = _decode_prefill_answer(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
         raise ProtocolError(str(problem)) from None
     return answer.kv_transfer_params, cached_tokens(answer.usage)
 
 
 def cached_tokens(usage: _Usage | None) -> int:
+    """Prompt tokens that were in the engine's prefix cache; 0 if the usage doesn't say."""
     details = usage.prompt_tokens_details if usage else None
     return max(details.cached_tokens or 0, 0) if details else 0
 
 
 def error_observation(message: Message) -> Observation:
-    """What an answer other than 200 shows."""
+    """What an answer with a status other than 200 shows of its attempt."""
     mark = message.headers.get(NOT_RUN, "")
     if mark == NO_STATE:
         return Observation.STATE_GONE
@@ -178,27 +190,28 @@
     return Observation.REFUSED_UNMARKED
 
 
-# What an event of text can't hold: in text, quotes are escaped.
-_MARKS = (b"[DONE]", b'"usage":{', b'"usage": {', b'"error"', b"\r")
+# Bytes that an event of nothing but text can't hold: JSON escapes the quotes inside a text.
+_NOT_PLAIN_TEXT = (b"[DONE]", b'"usage":{', b'"usage": {', b'"error"', b"\r")
 
 
 class EventStream:
-    """Cuts a streamed body into whole events, whatever the bytes' borders, and reads what they say."""
+    """Splits a streamed body into whole events, wherever its chunks end, and parses them."""
 
     MAX_EVENT_BYTES = 1 << 20  # bytes of one event
 
     def __init__(self) -> None:
-        self._left = b""
-        self.ended = False  # the protocol's own end was seen
+        self._partial = b""  # the bytes after the last whole event
+        self.ended = False  # the protocol's own end marker has arrived
         self.tokens = 0  # events with text
         self.usage: _Usage | None = None
 
     def split_text_events(self, data: bytes) -> tuple[bytes, bytes]:
-        """Whole events that may pass as they are, and what is left to `feed`: bytes that hold nothing but
-        events of text are looked at as a whole and not one by one (docs/performance.md)."""
-        if self._left:
-            data, self._left = self._left + data, b""
-        marked = min((at for mark in _MARKS if (at := data.find(mark)) >= 0), default=len(data))
+        """Whole events that may be relayed as they are, and the rest, which is for `feed`. Bytes that hold
+        nothing but events of text are checked as a whole, as parsing each event costs much more
+        (docs/performance.md)."""
+        if self._partial:
+            data, self._partial = self._partial + data, b""
+        marked = min((at for mark in _NOT_PLAIN_TEXT if (at := data.find(mark)) >= 0), default=len(data))
         end = data.rfind(b"\n\n", 0, marked) + 2
         whole = data[:end]
         count = whole.count(b"\n\n")
@@ -206,55 +219,59 @@
             return b"", data
         self.tokens += count
         if marked == len(data):
-            self._left = data[end:]
+            self._partial = data[end:]
             return whole, b""
         return whole, data[end:]
 
     def feed(self, data: bytes) -> list[tuple[bytes, bool, bool]]:
-        """Whole events as (bytes, whether text begins or goes on with it, whether it is only the usage)."""
-        data = (self._left + data).replace(b"\r\n", b"\n") if self._left or b"\r" in data else data
-        *whole, self._left = data.split(b"\n\n")
-        if len(self._left) > self.MAX_EVENT_BYTES:
+        """Whole events as (bytes, whether it carries text, a tool call or the finish, whether it carries only
+        the usage)."""
+        data = (self._partial + data).replace(b"\r\n", b"\n") if self._partial or b"\r" in data else data
+        *whole, self._partial = data.split(b"\n\n")
+        if len(self._partial) > self.MAX_EVENT_BYTES:
             raise ProtocolError(f"an event is over {self.MAX_EVENT_BYTES} bytes")
-        return [seen for event in whole if (seen := self._look(event)) is not None]
+        return [parsed for event in whole if (parsed := self._parse(event)) is not None]
 
-    def _look(self, event: bytes) -> tuple[bytes, bool, bool] | None:
+    def _parse(self, event: bytes) -> tuple[bytes, bool, bool] | None:
         event = event.lstrip(b"\n")
         if not event.startswith(b"data:"):
             lines = [line for line in event.split(b"\n") if line.startswith(b"data:")]
             if not lines:
-                return None  # a comment, a heartbeat: no token
+                return None  # a comment or a heartbeat, which is no token
             event = b"\n".join(lines)
         if self.ended:
             return None
-        said = event[5:].strip()
-        if said == b"[DONE]":
+        payload = event[5:].strip()
+        if payload == b"[DONE]":
             self.ended = True
             return None
         try:
-            part = _decode_event(said)
+            content = _decode_event(payload)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
             raise ProtocolError(str(problem)) from None
-        if part.error is not None:
+        if content.error is not None:
             raise ProtocolError("the engine sent an error event")
-        if part.usage is not None:
-            self.usage = part.usage
-        text = any(
-            choice.finish_reason or (d := choice.delta) and (d.content or d.tool_calls or d.refusal)
-            for choice in part.choices
+        if content.usage is not None:
+            self.usage = content.usage
+        has_text = any(
+            choice.finish_reason
+            or (delta := choice.delta)
+            and (delta.content or delta.tool_calls or delta.refusal)
+            for choice in content.choices
         )
-        self.tokens += bool(text)
-        return event + b"\n\n", bool(text), not part.choices and part.usage is not None
+        self.tokens += bool(has_text)
+        return event + b"\n\n", bool(has_text), not content.choices and content.usage is not None
 
 
 def continues_at(headers: Headers) -> int | None:
-    """Where the new text begins, if the engine says so; ProtocolError if it says no number."""
-    said = headers.get(CONTINUES_AT)
-    if said is None:
+    """The character of the answer so far at which the new text begins, None if the engine doesn't say;
+    ProtocolError if the header is not a number."""
+    value = headers.get(CONTINUES_AT)
+    if value is None:
         return None
-    if not said.isdecimal():
-        raise ProtocolError(f"{CONTINUES_AT}: {said!r:.40}")
-    return int(said)
+    if not value.isdecimal():
+        raise ProtocolError(f"{CONTINUES_AT}: {value!r:.40}")
+    return int(value)
 
 
 class _Load(msgspec.Struct):
@@ -268,38 +285,38 @@
 
 
 def parse_load_report(headers: Headers) -> LoadReport | None:
-    """The ORCA load report of these headers, in its JSON or its text form; None if there is none that can be
-    read. A figure that is no load (negative, not a number) is left out, the others stay."""
-    form, _, said = headers.get("endpoint-load-metrics", "").strip().partition(" ")
+    """The ORCA load report in these headers, in its JSON or its text format; None if there is none or it
+    can't be parsed. A figure that can't be a load (negative or not a number) is left out, the others stay."""
+    load_format, _, value = headers.get("endpoint-load-metrics", "").strip().partition(" ")
     try:
-        if form.upper() == "JSON":
-            load = _decode_load(said)
-        elif form.upper() == "TEXT":
-            load = _of_text(said)
+        if load_format.upper() == "JSON":
+            load = _decode_load(value)
+        elif load_format.upper() == "TEXT":
+            load = _parse_text_load(value)
         else:
             return None
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError, RecursionError):
         return None
-    named = load.named_metrics
-    waiting = _sane(named.get("num_requests_waiting"))
-    running = _sane(named.get("num_requests_running"))
-    unread = _sane(named.get("prompt_tokens_waiting"))
+    metrics = load.named_metrics
+    waiting = _valid_figure(metrics.get("num_requests_waiting"))
+    running = _valid_figure(metrics.get("num_requests_running"))
+    waiting_tokens = _valid_figure(metrics.get("prompt_tokens_waiting"))
     return LoadReport(
         held=None if running is None else running + (waiting or 0),
         queued=waiting,
-        slots_used=_sane(load.application_utilization),
-        memory_used=_sane(named.get("kv_cache_usage_perc", load.mem_utilization)),
-        unread_thousands=None if unread is None else unread / 1000,
+        slots_used=_valid_figure(load.application_utilization),
+        memory_used=_valid_figure(metrics.get("kv_cache_usage_perc", load.mem_utilization)),
+        unread_thousands=None if waiting_tokens is None else waiting_tokens / 1000,
     )
 
 
-def _sane(value: float | None) -> float | None:
+def _valid_figure(value: float | None) -> float | None:
     return value if value is not None and math.isfinite(value) and value >= 0 else None
 
 
-def _of_text(said: str) -> _Load:
+def _parse_text_load(text: str) -> _Load:
     load = _Load(named_metrics={})
-    for pair in said.split(","):
+    for pair in text.split(","):
         name, equals, value = pair.strip().partition("=")
         if not equals:
             raise ValueError(f"{pair!r} is not name=value")
@@ -311,7 +328,7 @@
 
 
 class ListedEngine(msgspec.Struct, frozen=True):
-    """One line of the list of engines, as its service pushes it."""
+    """One engine of the engine list, as the list service pushes it."""
 
     name: str
     address: str
@@ -321,11 +338,11 @@
     weight: float = 1.0
     started_at: int = 0  # wall clock, microseconds; 0: long ago
     readiness: str = "ready"
-    drains_by: int = 0  # wall clock, microseconds: a drain's time limit, 0 if it has none
+    drains_by: int = 0  # deadline of a drain, wall clock, microseconds; 0 if it has none
 
 
 class ListUpdate(msgspec.Struct, frozen=True):
-    """One push: the whole list, or what changed."""
+    """One push of the list service: the whole engine list, or the engines that changed."""
 
     whole: bool
     engines: list[ListedEngine]
@@ -335,12 +352,12 @@
 
 
 def parse_list_update(line: bytes) -> ListUpdate:
-    """A pushed line of the list; ProtocolError if it is not one (the list in hand is kept then)."""
+    """One pushed line; ProtocolError if it is malformed, upon which the router keeps its last engine list."""
     try:
-        news = _decode_list_update(line)
+        update = _decode_list_update(line)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
         raise ProtocolError(str(problem)) from None
-    for engine in news.engines:
+    for engine in update.engines:
         if engine.readiness not in ("ready", "draining", "gone"):
             raise ProtocolError(f"engine {engine.name}: readiness {engine.readiness!r:.40}")
         try:
@@ -349,4 +366,4 @@
             raise ProtocolError(f"engine {engine.name}: {problem}") from None
         if not (math.isfinite(engine.weight) and engine.weight > 0):
             raise ProtocolError(f"engine {engine.name}: weight {engine.weight}")
-    return news
+    return update
--- a/lifthead/engines/link.py
+++ b/lifthead/engines/link.py
@@ -1,4 +1,4 @@
-"""Connections to engines, kept for the next forward where that is harmless. Decides nothing."""
+"""Pools of HTTP connections to engines: idle ones are reused where a reuse can do no harm."""
 
 import asyncio
 from collections import deque
@@ -7,34 +7,35 @@
 from lifthead.http1 import HttpError, Message
 
 READ_SIZE = 65_536
-MAX_IDLE = 10.0  # seconds; engines commonly close later
-MIN_IDLE = 0.05  # seconds: a second answer that comes late must not be taken for that to the next request
-DOUBLING_TIME = 10.0  # seconds in which the trust in kept connections doubles again
+MAX_IDLE = 10.0  # seconds; engines commonly close idle connections later than that
+MIN_IDLE = 0.05  # seconds: a late second answer must not be taken for the answer to the next request
+DOUBLING_TIME = 10.0  # seconds in which a shortened idle limit doubles again
 
 
 class IdleLimit:
-    """How long connections may wait all_idle. The other end's limit is told, but machines on the way may drop
-    them without a word: the next thing sent is reset then, and may have run. One reset that way halves the
-    span that is trusted; it grows back with time. Times are seconds."""
+    """How long a connection may stay idle and still be reused. The other end's own limit is known, but
+    middleboxes may drop an idle connection without a notice: the next request on it is then reset, and may
+    have run. One such reset sets the limit to half of that idle time; it grows back as time passes. Times
+    are in seconds."""
 
-    def __init__(self, most: float = MAX_IDLE) -> None:
-        self._longest = self._current = most
+    def __init__(self, longest: float = MAX_IDLE) -> None:
+        self._longest = self._shortened = longest
         self._shortened_at = 0.0
 
     def current(self, now: float) -> float:
-        return min(self._current * 2 ** min((now - self._shortened_at) / DOUBLING_TIME, 64), self._longest)
+        return min(self._shortened * 2 ** min((now - self._shortened_at) / DOUBLING_TIME, 64), self._longest)
 
     def shorten(self, idle_time: float, now: float) -> None:
-        """A connection that had idle_time so long was gone when it was used."""
-        self._current, self._shortened_at = min(idle_time / 2, self.current(now)), now
+        """Records that a connection which had been idle for so long was gone when it was used."""
+        self._shortened, self._shortened_at = min(idle_time / 2, self.current(now)), now
 
 
 class NotSentError(ConnectionError):
-    """The connection broke before the last byte of what was to be sent was written."""
+    """The connection broke before the last byte of the request was written."""
 
 
 class CountingReader(asyncio.StreamReader):
-    """A stream that counts what came, so that bytes which nobody asked for can be told."""
+    """A stream reader that counts the bytes received, so that unsolicited bytes can be detected."""
 
     received = 0
 
@@ -51,36 +52,39 @@
     ) -> None:
         self.reader, self.writer = reader, writer
         self._parser_limits = parser_limits  # of a head and of a chunk, bytes
-        self._consumed = 0
+        self._consumed = 0  # bytes read from the reader
         self.parser = http1.AnswerParser(*parser_limits)
         self.opened_at = asyncio.get_running_loop().time()
         self.idle_since = 0.0
         self.uses = 0  # whole answers that came on it
-        self.idle_time = 0.0  # seconds all_idle before it was taken
-        self._received_before = 0  # bytes before the last sending
+        self.idle_time = 0.0  # seconds that it was idle before its current use
+        self._received_before = 0  # bytes received before the current request was sent
 
     async def send(self, data: bytes) -> None:
-        """Writes it; NotSentError if the connection broke before the last byte was written, as far as that
-        can be known: when in doubt it was."""
+        """Sends a request; NotSentError if the connection broke before the last byte was written. Where that
+        can't be known, the request counts as written."""
         transport = self.writer.transport
         if transport.is_closing() or self.reader.at_eof():
             raise NotSentError("closed before it was written to")
         self.parser = http1.AnswerParser(*self._parser_limits)
         self._received_before = self.reader.received
         self.writer.write(data)
-        if transport.is_closing():  # asyncio's own loop writes at once: it was this that failed
+        if transport.is_closing():  # asyncio's own event loop writes at once: this write is what failed
             raise NotSentError("broke while it was written to")
-        while transport.get_write_buffer_size():  # the rest waits for the peer to take what is before it
+        while (
+            transport.get_write_buffer_size()
+        ):  # the rest waits until the other end has read what precedes it
             await self.writer.drain()
             await asyncio.sleep(0.001)
 
     @property
     def peer_closed(self) -> bool:
-        """Whether the other end has ended its side, or the connection is broken."""
+        """Whether the other end has closed its side, or the connection is broken."""
         return self.reader.at_eof() or self.reader.exception() is not None
 
     def half_close(self) -> bool:
-        """Ends this side alone. False where that can't be: it is closed, or some bytes were not sent yet."""
+        """Closes the sending side alone. False where that is impossible: the connection is closed, or some
+        bytes are not sent yet."""
         transport = self.writer.transport
         if transport.is_closing() or transport.get_write_buffer_size():
             return False
@@ -91,7 +95,7 @@
         return True
 
     async def peer_closes(self, within: float, most: int) -> bool:
-        """Whether the other end ends its side in so many seconds, after at most so many bytes."""
+        """Whether the other end closes its side within so many seconds, after at most so many bytes."""
         left = most
         try:
             async with asyncio.timeout(within):
@@ -109,7 +113,8 @@
         return data
 
     async def read_body(self) -> bytes:
-        """Body bytes as they come, b"" at the end of the answer. ConnectionError if it ends before that."""
+        """The next bytes of the body, b"" at the end of the answer; ConnectionError if the connection ends
+        before that."""
         while True:
             body = self.parser.body()
             if body or self.parser.complete:
@@ -128,7 +133,7 @@
         return self.parser.head
 
     async def read_whole_body(self, most: int = 1 << 22) -> bytes:
-        """The whole body; HttpError past `most` bytes."""
+        """The rest of the body; HttpError if that is more than `most` bytes."""
         parts, size = [], 0
         while part := await self.read_body():
             parts.append(part)
@@ -138,41 +143,42 @@
         return b"".join(parts)
 
     async def exchange(self, data: bytes) -> tuple[Message, bytes]:
-        """Sends a short question and returns its whole answer."""
+        """Sends a short request and returns its whole answer."""
         await self.send(data)
         head = await self.read_head()
         return head, await self.read_whole_body()
 
-    async def is_alive(self, question: bytes, within: float) -> bool:
-        """Whether a harmless question is answered on this connection in so many seconds. A connection that
-        idle may have fallen silent with no error: what is sent on it then never arrives."""
+    async def is_alive(self, probe: bytes, within: float) -> bool:
+        """Whether a probe without effects is answered on this connection within so many seconds. An idle
+        connection may have been dropped without an error, and then what is sent on it never arrives."""
         try:
             async with asyncio.timeout(within):
-                await self.exchange(question)
+                await self.exchange(probe)
         except (OSError, TimeoutError, HttpError):
             return False
         return self.reusable
 
     @property
     def reusable(self) -> bool:
-        """Whether the next forward may go on it: the answer is whole, and nothing but it has come."""
+        """Whether the next request may go on it: the answer is whole, and nothing else has come."""
         parser, head = self.parser, self.parser.head
         whole = parser.complete and not parser.surplus and head is not None and head.keep_alive
         return whole and self.is_clean
 
     @property
     def answered(self) -> bool:
-        """Whether anything came back for what was sent last."""
+        """Whether any byte came back for the request that was sent last."""
         return self.reader.received > self._received_before
 
     @property
     def is_clean(self) -> bool:
-        """Open at both ends, and without bytes that nobody asked for."""
+        """Whether it is open at both ends, with no unsolicited bytes."""
         open_ = not (self.writer.transport.is_closing() or self.reader.at_eof())
         return open_ and self.reader.received == self._consumed
 
     def __str__(self) -> str:
-        """For the log: age, uses, how long it idle before this use, and whether anything came back."""
+        """For the log: its age, its uses, how long it was idle before the current one, and whether any byte
+        came back."""
         age_ms = (asyncio.get_running_loop().time() - self.opened_at) * 1e3
         answered = "yes" if self.answered else "no"
         return (
@@ -184,7 +190,7 @@
 
 
 class ConnectionPool:
-    """The way to one engine."""
+    """The connections to one engine."""
 
     def __init__(
         self,
@@ -194,7 +200,7 @@
         parser_limits: tuple[int, ...] = (),
         all_idle: dict[Connection, "ConnectionPool"] | None = None,
     ) -> None:
-        """`all_idle`: connections that wait at all links together, the one that waits longest first."""
+        """`all_idle`: the idle connections of all pools together, the one that is idle longest first."""
         self.address = address
         self._idle_limit = idle_limit or IdleLimit()
         self._parser_limits = parser_limits
@@ -205,17 +211,19 @@
         self._all_idle = {} if all_idle is None else all_idle
 
     async def acquire(self, fresh: bool) -> Connection:
-        """A connection; OSError or TimeoutError if none can be made. `fresh`: not one that was used before,
-        whose closing by the engine could not be told from a forward that ran."""
+        """A connection; OSError or TimeoutError if none can be made. `fresh`: a new one. If a reused one
+        breaks, the engine may have closed it while it was idle or may have run the request, and which of the
+        two can't be known."""
         now = asyncio.get_running_loop().time()
-        idle = [] if fresh else [each for each in self._idle if now - each.idle_since >= MIN_IDLE]
-        while idle:
-            connection = idle.pop()
+        candidates = [] if fresh else [each for each in self._idle if now - each.idle_since >= MIN_IDLE]
+        while candidates:
+            connection = candidates.pop()
             self._idle.remove(connection)
             del self._all_idle[connection]
             connection.idle_time = now - connection.idle_since
             usable = connection.is_clean and connection.idle_time < self._idle_limit.current(now)
-            if usable and not peek.seen(connection.writer, peek.UNREAD):  # the loop may not have read its end
+            # The event loop may not have read yet that the other end has closed, so the system is asked.
+            if usable and not peek.seen(connection.writer, peek.UNREAD):
                 return connection
             connection.abort()
         loop = asyncio.get_running_loop()
@@ -225,14 +233,14 @@
                 transport, protocol = await loop.create_connection(
                     lambda: asyncio.StreamReaderProtocol(reader, loop=loop), self._host, self._port
                 )
-        except ConnectionResetError:  # which says less than one that is refused
+        except ConnectionResetError:  # unlike a refusal, a reset doesn't show that no engine is there
             raise NotSentError("reset as it opened") from None
         return Connection(
             reader, asyncio.StreamWriter(transport, protocol, reader, loop), self._parser_limits
         )
 
     def close_expired(self) -> None:
-        """Closes what waits all_idle and could not be used any more: each holds a descriptor."""
+        """Closes the idle connections that can't be reused any more, as each holds a file descriptor."""
         now = asyncio.get_running_loop().time()
         for connection in list(self._idle):
             if not connection.is_clean or now - connection.idle_since >= self._idle_limit.current(now):
@@ -251,7 +259,7 @@
             connection.abort()
 
     def put_back(self, connection: Connection) -> None:
-        """Back after a whole answer; anything else is closed."""
+        """Keeps a connection for reuse after a whole answer; closes any other."""
         if connection.reusable:
             connection.idle_since = asyncio.get_running_loop().time()
             connection.uses += 1
@@ -261,7 +269,7 @@
             connection.abort()
 
     def record_broken(self, connection: Connection) -> None:
-        """A connection of this link broke under what was sent on it."""
+        """Shortens the idle limit if this connection was reused and broke before any byte of an answer."""
         if connection.uses and not connection.answered:
             self._idle_limit.shorten(connection.idle_time, asyncio.get_running_loop().time())
 
@@ -270,8 +278,8 @@
             self.close_oldest()
 
     async def exchange(self, data: bytes, within: float, fresh: bool = False) -> tuple[Message, bytes] | None:
-        """One short question (a probe, a release); None if it was not answered in `within` seconds. `fresh`:
-        on a connection of its own, as kept ones may have fallen silent."""
+        """Sends one short request (a probe or a release) and returns its answer; None if none came within so
+        many seconds. `fresh`: on a new connection, as idle ones may have been dropped without an error."""
         connection = None
         try:
             async with asyncio.timeout(within):
--- a/lifthead/engines/listing.py
+++ b/lifthead/engines/listing.py
@@ -1,4 +1,4 @@
-"""Follows the service that pushes the list of engines: one JSON document a line, whole or changes."""
+"""Watches the list service, which pushes the engine list, whole or as changes: one JSON document a line."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 from lifthead.engines.link import READ_SIZE
 from lifthead.http1 import HttpError
 
-RETRY_DELAY = 0.25  # seconds, doubled up to MAX_RETRY_DELAY while it can't be reached
+RETRY_DELAY = 0.25  # seconds, doubled up to MAX_RETRY_DELAY while the service is unreachable
 MAX_RETRY_DELAY = 4.0
 MAX_LINE_BYTES = 8 << 20
 
@@ -18,10 +18,10 @@
 async def watch_engine_list(
     url: str, router: str, on_update: Callable[[ListUpdate], None], on_lost: Callable[[], None], log: Any
 ) -> None:
-    """Never returns. A line that is no list is logged and leaves the view as it was."""
+    """Never returns. A malformed line is logged and leaves the engine list as it was."""
     address, _, path = url.removeprefix("http://").partition("/")
     host, _, port = address.rpartition(":")
-    wait = RETRY_DELAY
+    delay = RETRY_DELAY
     while True:
         writer = None
         try:
@@ -34,20 +34,18 @@
                     break
                 for line in filter(None, lines.feed(data)):
                     try:
-                        news = parse_list_update(line)
+                        update = parse_list_update(line)
                     except ProtocolError as problem:
-                        log.warning(
-                            "the list of engines is malformed: the last one stays", said=str(problem)[:200]
-                        )
+                        log.warning("malformed engine list: the last one stays", said=str(problem)[:200])
                         continue
-                    on_update(news)
-                    wait = RETRY_DELAY
+                    on_update(update)
+                    delay = RETRY_DELAY
         except (OSError, HttpError) as problem:
-            log.warning("the list of engines can't be followed: the last one stays", said=str(problem)[:200])
+            log.warning("engine list unreachable: the last one stays", said=str(problem)[:200])
         finally:
             if writer:
                 with contextlib.suppress(OSError):
                     writer.close()
         on_lost()
-        await asyncio.sleep(wait)
-        wait = min(wait * 2, MAX_RETRY_DELAY)
+        await asyncio.sleep(delay)
+        delay = min(delay * 2, MAX_RETRY_DELAY)
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -13,11 +13,11 @@
 WORDS = ["fuel ", "não ", "a\n\nb", "data: x", "«ok» "]
 
 
-def event(word=None, finish=None, **more):
+def event(word=None, finish=None, **fields):
     delta = {} if word is None else {"content": word}
     return (
         b"data: "
-        + json.dumps({"choices": [{"index": 0, "delta": delta, "finish_reason": finish}], **more}).encode()
+        + json.dumps({"choices": [{"index": 0, "delta": delta, "finish_reason": finish}], **fields}).encode()
     )
 
 
@@ -35,26 +35,26 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12), st.booleans())
-def test_events_come_whole_whatever_the_borders(cuts, crlf):
-    events, seen = EventStream(), []
+def test_events_are_whole_wherever_the_chunks_end(cuts, crlf):
+    events, parsed = EventStream(), []
     stream = STREAM.replace(b"\n", b"\r\n") if crlf else STREAM
-    places = sorted({0, *cuts, len(stream)})
-    for start, end in zip(places, places[1:], strict=False):
-        seen += events.feed(stream[start:end])
-    texts = [json.loads(raw[5:])["choices"][0]["delta"].get("content") for raw, text, _ in seen if text]
+    borders = sorted({0, *cuts, len(stream)})
+    for start, end in zip(borders, borders[1:], strict=False):
+        parsed += events.feed(stream[start:end])
+    texts = [json.loads(raw[5:])["choices"][0]["delta"].get("content") for raw, text, _ in parsed if text]
     assert texts == [*WORDS, None] and events.ended and events.usage.completion_tokens == 5
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12))
-def test_the_short_way_gives_the_same_bytes(cuts):
-    one, other, passed, looked = EventStream(), EventStream(), [], []
-    places = sorted({0, *cuts, len(STREAM)})
-    for start, end in zip(places, places[1:], strict=False):
+def test_relaying_text_events_unparsed_gives_the_same_bytes(cuts):
+    relaying, parsing, relayed, parsed = EventStream(), EventStream(), [], []
+    borders = sorted({0, *cuts, len(STREAM)})
+    for start, end in zip(borders, borders[1:], strict=False):
         data = STREAM[start:end]
-        whole, rest = one.split_text_events(data)
-        passed += [whole, *(event for event, _, _ in one.feed(rest))]
-        looked += [event for event, _, _ in other.feed(data)]
-    assert b"".join(passed) == b"".join(looked) and one.ended
+        whole, rest = relaying.split_text_events(data)
+        relayed += [whole, *(event for event, _, _ in relaying.feed(rest))]
+        parsed += [event for event, _, _ in parsing.feed(data)]
+    assert b"".join(relayed) == b"".join(parsed) and relaying.ended
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
         b'data: "\xff"\n\n',
     ],
 )
-def test_what_is_no_stream_is_strange(data):
+def test_a_malformed_stream_is_a_protocol_error(data):
     with pytest.raises(ProtocolError):
         EventStream().feed(data)
 
@@ -83,14 +83,14 @@
         (400, "", Observation.REFUSED_UNMARKED),
     ],
 )
-def test_what_a_refusal_proves(status, mark, observation):
+def test_what_an_error_answer_proves(status, mark, observation):
     assert (
         codec.error_observation(Message(status=status, headers={NOT_RUN: mark} if mark else {}))
         is observation
     )
 
 
-def test_only_what_is_certain_proves_not_run():
+def test_an_observation_proves_not_run_only_where_that_is_certain():
     proven = {
         observation
         for observation, (ending, _) in OUTCOMES.items()
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "expected"),
+    ("header", "expected"),
     [
         (
             'JSON {"mem_utilization": 0.5, "named_metrics": {"num_requests_waiting": 3,'
@@ -121,29 +121,29 @@
         ("TEXT mem_utilization=nan", (None,) * 5),
     ],
 )
-def test_load_reports(said, expected):
-    load = codec.parse_load_report({"endpoint-load-metrics": said})
+def test_load_reports(header, expected):
+    load = codec.parse_load_report({"endpoint-load-metrics": header})
     assert (load.held, load.queued, load.slots_used, load.memory_used, load.unread_thousands) == expected
 
 
 @pytest.mark.parametrize(
-    "said", ["", "JSON {", "JSON 5", "TEXT x", "TEXT mem_utilization=", "BIN xx", "JSON"]
+    "header", ["", "JSON {", "JSON 5", "TEXT x", "TEXT mem_utilization=", "BIN xx", "JSON"]
 )
-def test_no_load_report(said):
-    assert codec.parse_load_report({"endpoint-load-metrics": said}) is None
+def test_a_malformed_load_report_is_none(header):
+    assert codec.parse_load_report({"endpoint-load-metrics": header}) is None
 
 
 @given(st.binary(max_size=200))
-def test_no_bytes_break_the_codecs(data):
-    for act in (EventStream().feed, codec.parse_prefill_answer, codec.parse_list_update):
+def test_malformed_bytes_raise_nothing_but_protocol_errors(data):
+    for parse in (EventStream().feed, codec.parse_prefill_answer, codec.parse_list_update):
         with contextlib.suppress(ProtocolError):
-            act(data)
+            parse(data)
     codec.parse_load_report({"endpoint-load-metrics": "JSON " + data.decode("latin-1")})
     codec.parse_load_report({"endpoint-load-metrics": "TEXT " + data.decode("latin-1")})
 
 
 @given(st.binary(max_size=400))
-def test_no_bytes_break_the_parsers(data):
+def test_malformed_bytes_raise_nothing_but_http_errors(data):
     for parser in (ReqParser(100, 100), AnswerParser()):
         try:
             parser.feed(data)
@@ -152,10 +152,10 @@
 
 
 @given(st.lists(st.integers(0, 80), max_size=6))
-def test_reqs_come_whole_whatever_the_borders(cuts):
+def test_requests_are_whole_wherever_the_chunks_end(cuts):
     data = b"POST /x HTTP/1.1\r\nA: 1\r\nA: 2\r\nContent-Length: 3\r\n\r\nabcGET /y HTTP/1.1\r\n\r\n"
-    parser, places = ReqParser(1000, 1000), sorted({0, *cuts, len(data)})
-    for start, end in zip(places, places[1:], strict=False):
+    parser, borders = ReqParser(1000, 1000), sorted({0, *cuts, len(data)})
+    for start, end in zip(borders, borders[1:], strict=False):
         parser.feed(data[start:end])
     assert [(m.method, m.path, m.body) for m in parser.ready] == [("POST", "/x", b"abc"), ("GET", "/y", b"")]
     assert parser.ready[0].headers["a"] == "1, 2"
@@ -174,7 +174,7 @@
     ],
     ids=range(7),
 )
-def test_bounds_on_a_req(data, status):
+def test_limits_on_the_size_and_form_of_a_request(data, status):
     parser = ReqParser(1000, 1000)
     with pytest.raises(HttpError) as problem:
         for at in range(0, len(data), 64):
