--- a/lifthead/resume/__init__.py
+++ b/lifthead/resume/__init__.py
@@ -1,6 +1,6 @@
-"""Streams that outlive a writer: what silence means, whose stream is placed again, and how two texts become
-one.
+"""Resuming streams after the loss of their decode engine: detecting a stall, queueing broken streams, and
+splicing the new engine's text onto the old.
 
-Nothing here does I/O; times are handed in. Where a stream goes is control.Router's choice: to it, a stream
-that is placed again is a new req that has come back, with the prompt and the answer so far.
+Nothing here does I/O; the caller passes the time. Which engine a stream goes to is the choice of
+control.Router, which takes a resumed stream for a new request with the prompt and the answer so far.
 """
--- a/lifthead/resume/stall_detector.py
+++ b/lifthead/resume/stall_detector.py
@@ -1,22 +1,22 @@
-"""When a stream's silence is the loss of its progress.
+"""Detects when a stream's silence means that its decode engine is lost.
 
-An engine that says nothing on any of its streams is told from one that rests a single stream (a progress
-short of memory puts its newest answer back). Either is measured against the pace that the engine itself has
-shown. While most engines are silent the fault is more likely this router's, or a slow fleet's: then nothing
-is judged but by the last bound. Only text counts: heartbeats of the protocol come from a process that may
-have stopped writing.
+An engine that is silent on all of its streams is told from one that pauses a single stream (an engine short
+of KV memory preempts its newest answer). Both silences are measured against the pace that the engine has
+shown. While most engines are silent at once, the cause is more likely this router or a slow fleet: then only
+the longest silence allowed ends a stream. Only text counts as progress: protocol heartbeats come from a
+process that may have stopped decoding.
 """
 
 from dataclasses import dataclass, field
 
 from lifthead.state import Histogram
 
-GAP_FACTOR = 8.0  # an engine is silent for so many times what 98 in 100 of its gaps take ...
-MIN_SILENCE = 400_000  # ... and for so long at least
-SINGLE_STREAM_FACTOR = 4.0  # a single stream of an engine that writes others waits so many times longer
-MIN_GAPS = 20  # gaps before an engine's pace is believed
-UNKNOWN_PACE_FACTOR = 4.0  # until then, so many times the floor
-MOST_SILENT_FACTOR = 4.0  # while most engines are silent, so many times longer
+GAP_FACTOR = 8.0  # an engine is silent after this many times the 98th percentile of its gaps ...
+MIN_SILENCE = 400_000  # ... but not before so many microseconds
+SINGLE_STREAM_FACTOR = 4.0  # how much longer the limit is for one stream of an engine that serves others
+MIN_GAPS = 20  # gaps before an engine's pace is known
+UNKNOWN_PACE_FACTOR = 4.0  # until then the limit is this many times MIN_SILENCE
+MOST_SILENT_FACTOR = 4.0  # how much longer the limit is while most engines are silent
 
 
 @dataclass(slots=True)
@@ -24,13 +24,13 @@
     """One running stream."""
 
     engine: str
-    last_text_at: int  # when text last came
-    client_blocked: bool = False  # its client is slow: nothing is read from its progress
+    last_text_at: int
+    client_blocked: bool = False  # its client reads slowly, so nothing is read from its engine
 
 
 @dataclass(slots=True)
 class EngineProgress:
-    """An engine's streams here, and its pace."""
+    """An engine's streams at this router, and its pace."""
 
     streams: set[int] = field(default_factory=set)
     gaps: Histogram = field(default_factory=lambda: Histogram(1_000, 16, 400))
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LostStream:
-    """A stream that is taken for lost, why, and how long nothing came."""
+    """A stream that counts as lost, with the reason and the length of its silence."""
 
     stream: int
     engine: str
@@ -48,68 +48,70 @@
 
 
 class StallDetector:
-    """All running streams of one router. Streams are told apart by whole numbers that the caller gives."""
+    """Follows all running streams of one router. The caller identifies each stream by a number."""
 
     def __init__(self, max_silence: int) -> None:
-        self._max_silence = max_silence  # a silence that is loss whatever the pace
+        self._max_silence = max_silence  # a stream that is silent for longer is lost, whatever the pace
         self._streams: dict[int, StreamProgress] = {}
         self._engines: dict[str, EngineProgress] = {}
 
     def started(self, stream: int, engine: str, now: int) -> None:
-        """Its first text came."""
+        """The first text of a stream has arrived."""
         self._streams[stream] = StreamProgress(engine, now)
-        progress = self._engines.setdefault(engine, EngineProgress())
-        progress.streams.add(stream)
-        progress.last_text_at = now
+        engine_progress = self._engines.setdefault(engine, EngineProgress())
+        engine_progress.streams.add(stream)
+        engine_progress.last_text_at = now
 
     def progressed(self, stream: int, now: int) -> None:
-        """More text came."""
-        stream_progress = self._streams.get(stream)
-        if stream_progress is None:
+        """More text of a stream has arrived."""
+        progress = self._streams.get(stream)
+        if progress is None:
             return
-        progress = self._engines[stream_progress.engine]
-        if not stream_progress.client_blocked:
-            progress.gaps.add(now - stream_progress.last_text_at)
-        stream_progress.last_text_at, stream_progress.client_blocked, progress.last_text_at = now, False, now
+        engine_progress = self._engines[progress.engine]
+        if not progress.client_blocked:
+            engine_progress.gaps.add(now - progress.last_text_at)
+        progress.last_text_at, progress.client_blocked, engine_progress.last_text_at = now, False, now
 
     def client_blocked(self, stream: int) -> None:
-        """Its client takes nothing: what does not come now is not the progress's fault."""
+        """The stream's client reads nothing, so a silence from here on is not the engine's fault."""
         if stream in self._streams:
             self._streams[stream].client_blocked = True
 
     def client_unblocked(self, stream: int, now: int) -> None:
-        """Its client takes again."""
-        stream_progress = self._streams.get(stream)
-        if stream_progress and stream_progress.client_blocked:
-            stream_progress.client_blocked, stream_progress.last_text_at = False, now
+        """The stream's client reads again."""
+        progress = self._streams.get(stream)
+        if progress and progress.client_blocked:
+            progress.client_blocked, progress.last_text_at = False, now
 
     def ended(self, stream: int) -> None:
-        stream_progress = self._streams.pop(stream, None)
-        if stream_progress:
-            self._engines[stream_progress.engine].streams.discard(stream)
+        progress = self._streams.pop(stream, None)
+        if progress:
+            self._engines[progress.engine].streams.discard(stream)
 
     def router_stalled(self, stall: int) -> None:
-        """This router itself stood still for so long: nobody else's silence."""
-        for stream_progress in self._streams.values():
-            stream_progress.last_text_at += stall
-        for progress in self._engines.values():
+        """This router itself stood still for so long, which is no silence of an engine."""
+        for progress in self._streams.values():
             progress.last_text_at += stall
+        for engine_progress in self._engines.values():
+            engine_progress.last_text_at += stall
 
     def silence_limit(self, engine: str) -> int:
-        """How long this engine may be silent on all its streams."""
+        """How long this engine may be silent on all of its streams."""
         gaps = self._engines[engine].gaps
         if gaps.total < MIN_GAPS:
             return min(int(MIN_SILENCE * UNKNOWN_PACE_FACTOR), self._max_silence)
         return min(max(int(GAP_FACTOR * gaps.quantile(0.98)), MIN_SILENCE), self._max_silence)
 
     def lost_streams(self, now: int) -> list[LostStream]:
-        """The streams to be given up now. Each is named once: its caller ends it."""
-        expecting = [name for name, progress in self._engines.items() if self._expects_text(progress)]
+        """The streams that count as lost now. Until the caller ends one, it is returned again."""
+        expecting = [
+            name for name, engine_progress in self._engines.items() if self._expects_text(engine_progress)
+        ]
         silent = {
             name for name in expecting if now - self._engines[name].last_text_at > self.silence_limit(name)
         }
-        # Guards against moving a whole fleet: when most are silent at once, it says nothing of single
-        # engines.
+        # When most engines are silent at once, that shows nothing about a single one. Without this check,
+        # the streams of a whole fleet would be resumed together.
         most_silent = len(expecting) > 1 and len(silent) * 2 > len(expecting)
         found = []
         for name in expecting:
@@ -118,11 +120,11 @@
             if name not in silent:
                 limit, cause = limit * SINGLE_STREAM_FACTOR, "stream silent"
             for stream in sorted(self._engines[name].streams):
-                stream_progress = self._streams[stream]
-                silent_for = now - stream_progress.last_text_at
-                if not stream_progress.client_blocked and silent_for > min(limit, self._max_silence):
+                progress = self._streams[stream]
+                silent_for = now - progress.last_text_at
+                if not progress.client_blocked and silent_for > min(limit, self._max_silence):
                     found.append(LostStream(stream, name, cause, silent_for))
         return found
 
-    def _expects_text(self, progress: EngineProgress) -> bool:
-        return any(not self._streams[stream].client_blocked for stream in progress.streams)
+    def _expects_text(self, engine_progress: EngineProgress) -> bool:
+        return any(not self._streams[stream].client_blocked for stream in engine_progress.streams)
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -1,4 +1,4 @@
-"""Streams that outlive a writer: the decisions by themselves, then on sockets."""
+"""Streams are resumed after the loss of their decode engine: the decisions alone, then over sockets."""
 
 import asyncio
 import json
@@ -23,54 +23,56 @@
 S = 1_000_000
 
 
-def event(content=None, finish=None, **more):
+def event(content=None, finish=None, **fields):
     delta = {} if content is None else {"content": content}
     return json.dumps(
-        {"id": "x", "choices": [{"index": 0, "delta": delta, "finish_reason": finish}], **more}
+        {"id": "x", "choices": [{"index": 0, "delta": delta, "finish_reason": finish}], **fields}
     ).encode()
 
 
 def pieces(text, cuts):
-    places = sorted({0, *(cut % (len(text) + 1) for cut in cuts), len(text)})
-    return [text[start:end] for start, end in zip(places, places[1:], strict=False)]
+    borders = sorted({0, *(cut % (len(text) + 1) for cut in cuts), len(text)})
+    return [text[start:end] for start, end in zip(borders, borders[1:], strict=False)]
 
 
-def written(text, cuts=()):
-    made = SentAnswer()
+def sent_answer(text, cuts=()):
+    sent = SentAnswer()
     for piece in pieces(text, cuts):
-        made.add(b"data: " + event(piece) + b"\n\n")
-    return made.parse()
+        sent.add(b"data: " + event(piece) + b"\n\n")
+    return sent.parse()
 
 
-def spliced(seam, parts):
-    found = []
+def spliced(splicer, parts):
+    texts_sent = []
     for part in parts:
-        new = seam.event(part)
+        new = splicer.event(part)
         if new is not None:
-            found += [choice["delta"].get("content") or "" for choice in json.loads(new)["choices"]]
-    return "".join(found)
+            texts_sent += [choice["delta"].get("content") or "" for choice in json.loads(new)["choices"]]
+    return "".join(texts_sent)
 
 
 CUTS = st.lists(st.integers(0, 400), max_size=8)
 
 
 @given(st.text(min_size=1, max_size=80), st.integers(0, 80), st.integers(0, 80), st.booleans(), CUTS, CUTS)
-def test_any_cut_any_repeat_any_chunks_give_the_same_text(text, cut, back, told, before, after):
+def test_any_cut_any_repeat_and_any_chunks_give_the_same_text(
+    text, cut, repeated, starts_at_known, before, after
+):
     cut = min(cut, len(text))
-    starts_at = max(cut - back, 0) if told else None
-    sent = written(text[:cut], before)
+    starts_at = max(cut - repeated, 0) if starts_at_known else None
+    sent = sent_answer(text[:cut], before)
     assert sent.text == text[:cut]
     rest = text[cut if starts_at is None else starts_at :]
-    seam = Splice(sent, [], starts_at)
-    assert sent.text + spliced(seam, [event(part) for part in pieces(rest, after)]) == text
+    splicer = Splice(sent, [], starts_at)
+    assert sent.text + spliced(splicer, [event(part) for part in pieces(rest, after)]) == text
 
 
 @given(st.text("ab", min_size=1, max_size=12), st.integers(0, 12), st.text("ab", max_size=12), CUTS)
-def test_a_seam_that_does_not_fit_is_never_papered_over(sent, at, rest, cuts):
+def test_a_text_that_does_not_go_on_from_the_answer_so_far_is_an_error(sent, at, rest, cuts):
     at = min(at, len(sent))
-    seam = Splice(written(sent), [], at)
+    splicer = Splice(sent_answer(sent), [], at)
     try:
-        new = spliced(seam, [*(event(part) for part in pieces(rest, cuts)), event(None, "stop")])
+        new = spliced(splicer, [*(event(part) for part in pieces(rest, cuts)), event(None, "stop")])
     except SpliceError:
         assert not rest.startswith(sent[at:])
     else:
@@ -78,40 +80,49 @@
 
 
 @pytest.mark.parametrize("starts_at", [-1, 4])
-def test_a_start_outside_the_answer_so_far(starts_at):
+def test_a_start_outside_the_answer_so_far_is_an_error(starts_at):
     with pytest.raises(SpliceError):
-        Splice(written("abc"), [], starts_at)
+        Splice(sent_answer("abc"), [], starts_at)
 
 
 @pytest.mark.parametrize(
     ("sent", "stop", "parts", "new", "stopped"),
     [
         ("one EN", ["END"], ["D two"], "", True),
-        ("one EN", ["END"], ["X two END"], "X two END", False),  # the engine sees its own
+        (
+            "one EN",
+            ["END"],
+            ["X two END"],
+            "X two END",
+            False,
+        ),  # the engine sees a stop that it decodes whole
         ("one E", ["END"], ["N", "D", " two"], "N", True),
         ("one", ["END"], ["END two"], "END two", False),
         ("aXY", ["YZW", "XYZ"], ["ZW"], "", True),
     ],
 )
-def test_a_stop_sequence_that_lies_over_the_seam(sent, stop, parts, new, stopped):
-    seam, found = Splice(written(sent), stop, None), ""
+def test_a_stop_sequence_across_the_seam_ends_the_answer(sent, stop, parts, new, stopped):
+    splicer, text = Splice(sent_answer(sent), stop, None), ""
     for part in parts:
-        if not seam.stopped:
-            found += spliced(seam, [event(part)])
-    assert (found, seam.stopped) == (new, stopped)
+        if not splicer.stopped:
+            text += spliced(splicer, [event(part)])
+    assert (text, splicer.stopped) == (new, stopped)
 
 
-def test_head_usage_and_finish_come_out_as_of_one_stream():
-    sent = written("a b c ", [2, 4])
-    seam = Splice(sent, [], None)
-    last = json.loads(seam.event(event(None, "length", id="other")))
+def test_id_usage_and_finish_reason_are_those_of_one_stream():
+    sent = sent_answer("a b c ", [2, 4])
+    splicer = Splice(sent, [], None)
+    last = json.loads(splicer.event(event(None, "length", id="other")))
     assert last["id"] == "x" and last["choices"][0]["finish_reason"] == "length"
-    said = {"prompt_tokens": 13, "completion_tokens": 4, "total_tokens": 17}
-    usage = json.loads(seam.event(json.dumps({"choices": [], "usage": said}).encode()))["usage"]
+    engine_usage = {"prompt_tokens": 13, "completion_tokens": 4, "total_tokens": 17}
+    usage = json.loads(splicer.event(json.dumps({"choices": [], "usage": engine_usage}).encode()))["usage"]
     assert usage == {"prompt_tokens": 10, "completion_tokens": 7, "total_tokens": 17}
-    asked = splice.continuation(body(max_tokens=10), sent)
-    assert asked["max_tokens"] == 7 and asked["messages"][-1] == {"role": "assistant", "content": "a b c "}
-    assert asked["continue_final_message"] is True
+    continued = splice.continuation(body(max_tokens=10), sent)
+    assert continued["max_tokens"] == 7 and continued["messages"][-1] == {
+        "role": "assistant",
+        "content": "a b c ",
+    }
+    assert continued["continue_final_message"] is True
 
 
 def test_long_streams_are_kept_as_text_alone():
@@ -122,292 +133,300 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "said"),
+    ("fields", "reason"),
     [
         ({}, ""),
         ({"n": 1}, ""),
         ({"response_format": {"type": "text"}}, ""),
         ({"n": 2}, "several choices"),
-        ({"response_format": {"type": "json_object"}}, "a bound grammar"),
-        ({"continue_final_message": True}, "the client's own continuation"),
+        ({"response_format": {"type": "json_object"}}, "output constrained by response_format"),
+        ({"continue_final_message": True}, "the client's own continue_final_message"),
     ],
 )
-def test_what_can_not_be_put_together(more, said):
-    assert splice.obstacle(body(**more)) == said
+def test_which_answers_can_not_be_spliced(fields, reason):
+    assert splice.obstacle(body(**fields)) == reason
 
 
 def fleet(*paces, streams=3, until=2 * S):
-    """Engines e0, e1, ... that write a token every so many microseconds on each of their streams."""
-    watch = StallDetector(10 * S)
-    for at, pace in enumerate(paces):
+    """Engines e0, e1, ... that decode a token every so many microseconds on each of their streams."""
+    detector = StallDetector(10 * S)
+    for engine, pace in enumerate(paces):
         for number in range(streams):
-            watch.started(at * 100 + number, f"e{at}", 0)
+            detector.started(engine * 100 + number, f"e{engine}", 0)
             for now in range(pace, until + 1, pace):
-                watch.progressed(at * 100 + number, now)
-    return watch
+                detector.progressed(engine * 100 + number, now)
+    return detector
 
 
 @pytest.mark.parametrize("pace", [10 * MS, 40 * MS, 200 * MS])
-def test_a_silent_engine_is_noticed_by_its_own_pace(pace):
-    watch = fleet(pace, pace, pace)
-    patience = watch.silence_limit("e0")
-    assert stall_detector.MIN_SILENCE <= patience <= max(stall_detector.MIN_SILENCE, 20 * pace)
-    for now in range(2 * S, 2 * S + 2 * patience, 10 * MS):  # e1 and e2 go on
+def test_a_silent_engine_is_detected_by_its_own_pace(pace):
+    detector = fleet(pace, pace, pace)
+    limit = detector.silence_limit("e0")
+    assert stall_detector.MIN_SILENCE <= limit <= max(stall_detector.MIN_SILENCE, 20 * pace)
+    for now in range(2 * S, 2 * S + 2 * limit, 10 * MS):  # e1 and e2 go on
         for stream in (100, 101, 102, 200, 201, 202):
-            watch.progressed(stream, now)
-        if watch.lost_streams(now):
+            detector.progressed(stream, now)
+        if detector.lost_streams(now):
             break
-    lost = watch.lost_streams(now)
+    lost = detector.lost_streams(now)
     assert {loss.stream for loss in lost} == {0, 1, 2} and {loss.cause for loss in lost} == {"engine silent"}
-    assert patience < now - 2 * S <= patience + pace + 20 * MS
+    assert limit < now - 2 * S <= limit + pace + 20 * MS
 
 
-def test_a_single_silent_stream_waits_longer():
-    watch = fleet(20 * MS)
+def test_the_silence_limit_of_a_single_stream_is_longer():
+    detector = fleet(20 * MS)
     for now in range(2 * S, 5 * S, 20 * MS):
-        watch.progressed(0, now)
-        watch.progressed(1, now)
-        lost = watch.lost_streams(now)
+        detector.progressed(0, now)
+        detector.progressed(1, now)
+        lost = detector.lost_streams(now)
         if lost:
             break
     assert [(loss.stream, loss.cause) for loss in lost] == [(2, "stream silent")]
-    assert now - 2 * S > stall_detector.SINGLE_STREAM_FACTOR * watch.silence_limit("e0")
+    assert now - 2 * S > stall_detector.SINGLE_STREAM_FACTOR * detector.silence_limit("e0")
 
 
 @pytest.mark.parametrize(("silent", "moved"), [(1, True), (2, True), (3, False), (4, False)])
-def test_most_of_a_fleet_silent_at_once_says_nothing_of_one(silent, moved):
-    watch = fleet(*[20 * MS] * 4)
+def test_while_most_engines_are_silent_no_single_one_counts_as_lost(silent, moved):
+    detector = fleet(*[20 * MS] * 4)
     now = 2 * S + stall_detector.MIN_SILENCE + 50 * MS
-    for at in range(silent, 4):
+    for engine in range(silent, 4):
         for number in range(3):
-            watch.progressed(at * 100 + number, now)
-    assert bool(watch.lost_streams(now)) is moved
-    assert watch.lost_streams(
-        now + int(stall_detector.MIN_SILENCE * stall_detector.MOST_SILENT_FACTOR)
-    )  # but the last bound holds
+            detector.progressed(engine * 100 + number, now)
+    assert bool(detector.lost_streams(now)) is moved
+    # The longer limit still holds.
+    assert detector.lost_streams(now + int(stall_detector.MIN_SILENCE * stall_detector.MOST_SILENT_FACTOR))
 
 
 @pytest.mark.parametrize("what", ["loop", "client", "ended"])
-def test_what_is_not_the_writers_silence(what):
-    watch = fleet(20 * MS, 20 * MS, streams=1)
+def test_silences_that_are_not_the_engines_fault(what):
+    detector = fleet(20 * MS, 20 * MS, streams=1)
     later = 2 * S + stall_detector.MIN_SILENCE + 100 * MS
-    watch.progressed(100, later)
+    detector.progressed(100, later)
     if what == "loop":
-        watch.router_stalled(stall_detector.MIN_SILENCE)
+        detector.router_stalled(stall_detector.MIN_SILENCE)
     elif what == "client":
-        watch.client_blocked(0)
-        assert 0 not in {loss.stream for loss in watch.lost_streams(2 * S + 60 * S)}
-        watch.client_unblocked(0, later)
+        detector.client_blocked(0)
+        assert 0 not in {loss.stream for loss in detector.lost_streams(2 * S + 60 * S)}
+        detector.client_unblocked(0, later)
     else:
-        watch.ended(0)
-    assert not watch.lost_streams(later)
+        detector.ended(0)
+    assert not detector.lost_streams(later)
 
 
-def test_a_fleet_that_slows_down_is_not_moved_in_a_storm():
-    """All writers write twenty times slower, then go on so: no stream is lost."""
-    watch, now = fleet(*[20 * MS] * 6), 2 * S
+def test_no_stream_is_lost_when_the_whole_fleet_slows_down():
+    """All engines decode twenty times slower from one moment on."""
+    detector, now = fleet(*[20 * MS] * 6), 2 * S
     moved = 0
     for step in range(400):
         now += 10 * MS
         if step % 40 == 39:
-            for stream in [at * 100 + number for at in range(6) for number in range(3)]:
-                watch.progressed(stream, now)
-        moved += len(watch.lost_streams(now))
+            for stream in [engine * 100 + number for engine in range(6) for number in range(3)]:
+                detector.progressed(stream, now)
+        moved += len(detector.lost_streams(now))
     assert moved == 0
 
 
-GROUP = EndpointGroup("g", Effect.REPLAYABLE, "all", 5 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
-ONCE = EndpointGroup("o", Effect.NON_REPLAYABLE, "all", 5 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
-KEYED = EndpointGroup("k", Effect.KEYED, "zone", 2 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
-DEAR = EndpointGroup("d", Effect.REPLAYABLE, "all", 5 * S, S, 0, 8 * S, 50 * MS, 3.0, 0.1)
+DEFAULT = EndpointGroup("g", Effect.REPLAYABLE, "all", 5 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
+NON_IDEMPOTENT = EndpointGroup("o", Effect.NON_REPLAYABLE, "all", 5 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
+WITH_KEY = EndpointGroup("k", Effect.KEYED, "zone", 2 * S, S, 0, 8 * S, 50 * MS, 1.0, 0.1)
+HEAVY = EndpointGroup("d", Effect.REPLAYABLE, "all", 5 * S, S, 0, 8 * S, 50 * MS, 3.0, 0.1)
 
 
-def broken(stream, group=GROUP, tenant="t", written=5, times=0, ran_at=0, obstacle="", at=S):
-    return BrokenStream(stream, tenant, group, written, 100 + written, 50, times, ran_at, obstacle, at)
+def broken(stream, request_class=DEFAULT, tenant="t", sent_tokens=5, resumes=0, sent_at=0, obstacle="", at=S):
+    return BrokenStream(
+        stream, tenant, request_class, sent_tokens, 100 + sent_tokens, 50, resumes, sent_at, obstacle, at
+    )
 
 
 @pytest.mark.parametrize(
-    ("lost", "said"),
+    ("lost", "reason"),
     [
         (broken(1), ""),
-        (broken(1, DEAR, times=resume_queue.MAX_RESUMES - 1), ""),
-        (broken(1, times=resume_queue.MAX_RESUMES), "placed again"),
-        (broken(1, ONCE), "non-replayable"),
-        (broken(1, KEYED), ""),
-        (broken(1, KEYED, at=3 * S), "keyed"),
+        (broken(1, HEAVY, resumes=resume_queue.MAX_RESUMES - 1), ""),
+        (broken(1, resumes=resume_queue.MAX_RESUMES), "resumed"),
+        (broken(1, NON_IDEMPOTENT), "non-replayable"),
+        (broken(1, WITH_KEY), ""),
+        (broken(1, WITH_KEY, at=3 * S), "keyed"),
         (broken(1, obstacle="several choices"), "several choices"),
     ],
 )
-def test_which_streams_may_be_placed_again(lost, said):
-    assert ResumeQueue().add(lost).startswith(said) and bool(ResumeQueue().add(lost)) == bool(said)
+def test_which_streams_may_be_resumed(lost, reason):
+    assert ResumeQueue().add(lost).startswith(reason) and bool(ResumeQueue().add(lost)) == bool(reason)
 
 
-def test_the_important_come_first_then_what_was_paid_for():
-    keeper = ResumeQueue()
+def test_heavier_request_classes_come_first_then_longer_answers():
+    queue = ResumeQueue()
     for lost in (
-        broken(1, written=9),
-        broken(2, DEAR, written=1),
-        broken(3, written=90),
-        broken(4, DEAR, written=7),
+        broken(1, sent_tokens=9),
+        broken(2, HEAVY, sent_tokens=1),
+        broken(3, sent_tokens=90),
+        broken(4, HEAVY, sent_tokens=7),
     ):
-        keeper.add(lost)
-    assert [each.stream for each in keeper.take_next(S)] == [4, 2, 3, 1]
+        queue.add(lost)
+    assert [each.stream for each in queue.take_next(S)] == [4, 2, 3, 1]
 
 
-def test_budgets_and_the_end_of_waiting():
-    keeper = ResumeQueue()
+def test_first_token_budgets_and_the_expiry_of_waiting_streams():
+    queue = ResumeQueue()
     assert (
-        keeper.first_token_budget(broken(1), 2 * S) == 7 * S
-        and keeper.first_token_budget(broken(1, KEYED), int(1.5 * S)) == S // 2
+        queue.first_token_budget(broken(1), 2 * S) == 7 * S
+        and queue.first_token_budget(broken(1, WITH_KEY), int(1.5 * S)) == S // 2
     )
     for number in range(20):
-        keeper.add(broken(number))
-    assert len(keeper.take_next(S)) == resume_queue.MIN_IN_FLIGHT and not keeper.take_next(S)
+        queue.add(broken(number))
+    assert len(queue.take_next(S)) == resume_queue.MIN_IN_FLIGHT and not queue.take_next(S)
     assert (
-        not keeper.expire(4 * S)
-        and len(keeper.expire(5 * S)) == 20 - resume_queue.MIN_IN_FLIGHT
-        and not keeper.waiting_count
+        not queue.expire(4 * S)
+        and len(queue.expire(5 * S)) == 20 - resume_queue.MIN_IN_FLIGHT
+        and not queue.waiting_count
     )
 
 
-@pytest.mark.parametrize(("room", "moved"), [(0, []), (1, [2]), (9, [2, 1])])
-def test_streams_that_would_outlive_a_drain(room, moved):
-    going = [
+@pytest.mark.parametrize(("limit", "moved"), [(0, []), (1, [2]), (9, [2, 1])])
+def test_streams_that_would_outlive_a_drain(limit, moved):
+    running = [
         DrainingStream(1, 2 * S, 30, 50 * MS, 5),
         DrainingStream(2, 2 * S, 90, 50 * MS, 5),
         DrainingStream(3, 2 * S, 9, 50 * MS, 5),
     ]
-    assert resume_queue.streams_to_move(going, S, room) == moved
+    assert resume_queue.streams_to_move(running, S, limit) == moved
 
 
-class RescueMachine(RuleBasedStateMachine):
-    """Any order of breaks, placings, ends and time, beside a plain account of where each stream is."""
+class ResumeQueueMachine(RuleBasedStateMachine):
+    """Any order of breaks, resumes, ends and passing time, compared with a plain record of the states."""
 
     @initialize()
     def begin(self):
-        self.keeper, self.at, self.now = ResumeQueue(), {}, S
-        self.lost_ones = {}
+        self.queue, self.states, self.now = ResumeQueue(), {}, S
+        self.broken = {}
 
     @rule(
         stream=st.integers(0, 30),
-        group=st.sampled_from([GROUP, ONCE, KEYED, DEAR]),
+        request_class=st.sampled_from([DEFAULT, NON_IDEMPOTENT, WITH_KEY, HEAVY]),
         tenant=st.sampled_from("tuv"),
-        times=st.integers(0, 4),
+        resumes=st.integers(0, 4),
     )
-    def breaks(self, stream, group, tenant, times):
-        if self.at.get(stream, "running") == "running":
-            lost = broken(stream, group, tenant, times=times, ran_at=self.now - S, at=self.now)
-            self.at[stream] = "ended" if self.keeper.add(lost) else "waits"
-            self.lost_ones[stream] = lost
+    def break_stream(self, stream, request_class, tenant, resumes):
+        if self.states.get(stream, "running") == "running":
+            lost = broken(stream, request_class, tenant, resumes=resumes, sent_at=self.now - S, at=self.now)
+            self.states[stream] = "ended" if self.queue.add(lost) else "waits"
+            self.broken[stream] = lost
 
     @rule(running=st.integers(0, 200))
-    def place(self, running):
-        self.keeper.running_streams = running
-        placed = self.keeper.take_next(self.now)
-        for each in placed:
-            assert self.at[each.stream] == "waits" and each.request_class is not ONCE
-            self.at[each.stream] = "placing"
+    def resume(self, running):
+        self.queue.running_streams = running
+        taken = self.queue.take_next(self.now)
+        for each in taken:
+            assert self.states[each.stream] == "waits" and each.request_class is not NON_IDEMPOTENT
+            self.states[each.stream] = "in flight"
         assert (
-            len([1 for at in self.at.values() if at == "placing"]) <= self.keeper.max_in_flight or not placed
+            len([1 for state in self.states.values() if state == "in flight"]) <= self.queue.max_in_flight
+            or not taken
         )
 
     @rule(stream=st.integers(0, 30), to=st.sampled_from(["running", "ended"]))
-    def settles(self, stream, to):
-        if self.at.get(stream) in ("placing", "waits"):
-            self.keeper.remove(stream)
-            self.at[stream] = to
+    def settle(self, stream, to):
+        if self.states.get(stream) in ("in flight", "waits"):
+            self.queue.remove(stream)
+            self.states[stream] = to
 
     @rule(passed=st.integers(1, 5 * S))
-    def time_goes_by(self, passed):
+    def pass_time(self, passed):
         self.now += passed
-        for each in self.keeper.expire(self.now):
-            assert self.at[each.stream] == "waits" and self.now >= self.keeper.waits_until(each)
-            self.at[each.stream] = "ended"
-        waiting = [self.lost_ones[stream] for stream, at in self.at.items() if at == "waits"]
-        assert all(self.now < self.keeper.waits_until(each) for each in waiting)
+        for each in self.queue.expire(self.now):
+            assert self.states[each.stream] == "waits" and self.now >= self.queue.waits_until(each)
+            self.states[each.stream] = "ended"
+        waiting = [self.broken[stream] for stream, state in self.states.items() if state == "waits"]
+        assert all(self.now < self.queue.waits_until(each) for each in waiting)
 
     @invariant()
-    def accounts_agree(self):
-        if hasattr(self, "at"):
-            assert self.keeper.waiting_count == sum(at == "waits" for at in self.at.values())
-            assert set(self.keeper._in_flight) == {
-                stream for stream, at in self.at.items() if at == "placing"
+    def records_agree(self):
+        if hasattr(self, "states"):
+            assert self.queue.waiting_count == sum(state == "waits" for state in self.states.values())
+            assert set(self.queue._in_flight) == {
+                stream for stream, state in self.states.items() if state == "in flight"
             }
 
 
-TestRescue = RescueMachine.TestCase
-TestRescue.settings = settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
+TestResumeQueue = ResumeQueueMachine.TestCase
+TestResumeQueue.settings = settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
 
 
 THREE = SCRIPT.replace('router("r"', 'engine("wr3", zone = "a", kind = "writer")\nrouter("r"')
 
 
-def expected(said):
-    return "".join(text_of_answer(said["messages"], said.get("max_tokens", 64)))
+def expected(request):
+    return "".join(text_of_answer(request["messages"], request.get("max_tokens", 64)))
 
 
 @pytest.mark.parametrize("how", ["reset", "silent", "twice", "overlap"])
-def test_a_stream_goes_on_without_a_character_repeated_or_skipped(tmp_path, how):
+def test_a_resumed_stream_repeats_and_skips_no_character(tmp_path, how):
     async def play():
         names = ("rd", "wr", "wr2", "wr3")
         async with Loopback(tmp_path, engines=names, text=THREE) as loop:
-            says = [body(f"question {n}", stream=True, max_tokens=300) for n in range(12)]
+            requests = [body(f"question {n}", stream=True, max_tokens=300) for n in range(12)]
             if how == "overlap":
                 for name in names:
                     loop.fault(name, "overlap", lasts=20)
             loop.fault("wr", "reset", lasts=0.4 if how != "silent" else 0.0)
-            tries = [asyncio.create_task(raw(loop.address, http(said), within=15)) for said in says]
+            attempts = [
+                asyncio.create_task(raw(loop.address, http(request), within=15)) for request in requests
+            ]
             await asyncio.sleep(0.25)
             if how == "silent":
-                loop.fault("wr", "silent", lasts=3.0)  # and then it wakes
+                loop.fault("wr", "silent", lasts=3.0)  # and then it decodes on
             if how == "twice":
                 loop.fault("wr2", "reset", lasts=0.5, part=0.7)
                 for stream in list(loop.engines["wr2"].running)[::2]:
                     stream.reset_after = stream.sent + 5
-            for said, answer in zip(says, await asyncio.gather(*tries), strict=True):
-                words, last, _ = texts(answer)
-                assert last == b"[DONE]" and words == expected(said)
-            legs = len(forwards(loop, *names))
-            assert legs > 12 and not loop.daemon.host.pending_requests and not loop.daemon.host._streams
+            for request, answer in zip(requests, await asyncio.gather(*attempts), strict=True):
+                answer_text, last, _ = texts(answer)
+                assert last == b"[DONE]" and answer_text == expected(request)
+            attempts_seen = len(forwards(loop, *names))
+            assert (
+                attempts_seen > 12 and not loop.daemon.host.pending_requests and not loop.daemon.host._streams
+            )
 
     run(play())
 
 
-@pytest.mark.parametrize("case", ["non-replayable", "several choices", "no writer left", "off"])
-def test_what_can_not_go_on_ends_cleanly_and_at_once(tmp_path, case):
+@pytest.mark.parametrize("case", ["non-replayable", "several choices", "no decode engine left", "off"])
+def test_a_stream_that_can_not_be_resumed_ends_with_an_error_at_once(tmp_path, case):
     async def play():
-        engines = ("rd", "wr") if case == "no writer left" else ("rd", "wr", "wr2")
+        engines = ("rd", "wr") if case == "no decode engine left" else ("rd", "wr", "wr2")
         text = SCRIPT.replace("rules(", "rules(resume = False, ") if case == "off" else SCRIPT
         async with Loopback(tmp_path, engines=engines, text=text) as loop:
-            more = {"n": 2} if case == "several choices" else {}
+            fields = {"n": 2} if case == "several choices" else {}
             model = "once" if case == "non-replayable" else "m"
             for name in engines:
                 loop.fault(name, "reset", lasts=20)
             began, ends = time.monotonic(), []
             for number in range(6):
-                said = body(str(number), model=model, stream=True, max_tokens=300, **more)
-                answer = await raw(loop.address, http(said))
+                request = body(str(number), model=model, stream=True, max_tokens=300, **fields)
+                answer = await raw(loop.address, http(request))
                 if b"event-stream" in answer:
                     ends.append(texts(answer)[1])
             assert sum(b"stream_broken" in end for end in ends) > 2
-            assert all(b"stream_broken" in end or end == b"[DONE]" for end in ends)  # whole before its reset
+            assert all(
+                b"stream_broken" in end or end == b"[DONE]" for end in ends
+            )  # an answer may be whole before the reset
             assert time.monotonic() - began < 4 and not loop.daemon.host.pending_requests
 
     run(play())
 
 
 @pytest.mark.parametrize("case", ["non-replayable", "off", "off, draining"])
-def test_a_stream_that_could_not_go_on_elsewhere_is_left_to_its_writer(tmp_path, case):
-    """Its writer is silent for a while, or drains with a time limit: to cut it would only break it."""
+def test_a_stream_that_can_not_be_resumed_is_left_to_its_engine(tmp_path, case):
+    """Its decode engine is silent for a while, or drains with a deadline: cutting the stream breaks it."""
 
     async def play():
         text = SCRIPT.replace("rules(", "rules(resume = False, ") if "off" in case else SCRIPT
         text = text.replace('stalled_for = "600ms"', 'stalled_for = "6s"')
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2"), text=text) as loop:
-            said = body(
+            request = body(
                 "wait", model="once" if case == "non-replayable" else "m", stream=True, max_tokens=300
             )
-            answer = asyncio.create_task(raw(loop.address, http(said), within=15))
+            answer = asyncio.create_task(raw(loop.address, http(request), within=15))
             await loop.until(lambda: loop.engines["wr"].running or loop.engines["wr2"].running)
             for name in ("wr", "wr2"):
                 if "draining" in case:
@@ -415,29 +434,35 @@
                 else:
                     loop.fault(name, "silent", lasts=1.0 if loop.engines[name].running else 0.0)
             if "draining" in case:
-                by = time.time_ns() // 1000 + 200_000
+                drains_by = time.time_ns() // 1000 + 200_000
                 loop.daemon.host.on_list(
                     ListUpdate(
                         False,
                         [
                             ListedEngine(
-                                name, loop.listed[name], "a", 0, "writer", readiness="draining", drains_by=by
+                                name,
+                                loop.listed[name],
+                                "a",
+                                0,
+                                "writer",
+                                readiness="draining",
+                                drains_by=drains_by,
                             )
                             for name in ("wr", "wr2")
                         ],
                     )
                 )
-            words, last, _ = texts(await answer)
-            assert last == b"[DONE]" and words == expected(said)
+            answer_text, last, _ = texts(await answer)
+            assert last == b"[DONE]" and answer_text == expected(request)
             assert len(forwards(loop, "wr", "wr2")) == 1
 
     run(play())
 
 
-def test_a_client_that_leaves_while_its_stream_waits(tmp_path):
+def test_a_client_that_leaves_while_its_stream_waits_to_be_resumed(tmp_path):
     async def play():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
-            loop.daemon.host.rescue.take_next = lambda now: []  # no place is free
+            loop.daemon.host.rescue.take_next = lambda now: []  # no stream may be resumed now
             loop.fault("wr", "reset", lasts=20)
             loop.fault("wr2", "reset", lasts=20)
             _, writer = await asyncio.open_connection(*loop.address.split(":"))
@@ -450,22 +475,30 @@
     run(play())
 
 
-def test_a_drain_with_a_time_limit_moves_the_streams_that_would_outlive_it(tmp_path):
+def test_a_drain_with_a_deadline_moves_the_streams_that_would_outlive_it(tmp_path):
     async def play():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
-            says = [body(f"drain {n}", stream=True, max_tokens=300) for n in range(6)]
+            requests = [body(f"drain {n}", stream=True, max_tokens=300) for n in range(6)]
             for name in ("wr", "wr2"):
                 loop.fault(name, "slow", lasts=20, times=4.0)
-            tries = [asyncio.create_task(raw(loop.address, http(said), within=25)) for said in says]
+            attempts = [
+                asyncio.create_task(raw(loop.address, http(request), within=25)) for request in requests
+            ]
             await asyncio.sleep(0.6)
             assert loop.engines["wr"].running
-            by = time.time_ns() // 1000 + 500_000
+            drains_by = time.time_ns() // 1000 + 500_000
             loop.daemon.host.on_list(
                 ListUpdate(
                     False,
                     [
                         ListedEngine(
-                            "wr", loop.listed["wr"], "a", 0, "writer", readiness="draining", drains_by=by
+                            "wr",
+                            loop.listed["wr"],
+                            "a",
+                            0,
+                            "writer",
+                            readiness="draining",
+                            drains_by=drains_by,
                         )
                     ],
                 )
@@ -473,8 +506,8 @@
             await loop.until(lambda: not loop.engines["wr"].running, 1.0)
             for name in ("wr", "wr2"):
                 loop.engines[name].faults.clear()
-            for said, answer in zip(says, await asyncio.gather(*tries), strict=True):
-                words, last, _ = texts(answer)
-                assert last == b"[DONE]" and words == expected(said)
+            for request, answer in zip(requests, await asyncio.gather(*attempts), strict=True):
+                answer_text, last, _ = texts(answer)
+                assert last == b"[DONE]" and answer_text == expected(request)
 
     run(play())
