--- a/lifthead/fleet/__init__.py
+++ b/lifthead/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Operators and balancers: admin socket, agent-check, health pages, and what the command asks of routers."""
+"""What operators and load balancers talk to: the admin socket, the agent-check and the health pages."""
--- a/lifthead/fleet/health.py
+++ b/lifthead/fleet/health.py
@@ -1,4 +1,4 @@
-"""What a router says of itself to balancers: agent-check over TCP, and HTTP pages."""
+"""What a router reports to load balancers: an agent-check over TCP, and HTTP pages."""
 
 import asyncio
 import contextlib
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterStatus:
-    """The facts that a router's word rests on."""
+    """The facts from which a router's health is derived."""
 
-    engines_listed: bool  # a list of engines has come since the start
-    decode_engines: int  # ready engines that write
+    engines_listed: bool  # an engine list has come since the start
+    decode_engines: int  # ready engines that decode
     stopping: bool
-    drain_requested: bool  # an operator asked it to take no more
-    weight: int = 100  # percent of its usual traffic that it wants (weight.py)
+    drain_requested: bool  # an operator asked the router to take no more requests
+    weight: int = 100  # percent of its usual traffic that it asks for (members/weight.py)
 
     @property
     def ready(self) -> bool:
@@ -27,7 +27,7 @@
 
     @property
     def agent_reply(self) -> str:
-        """Agent-check's: `ready`, `up N%` while it wants less, `drain`, `down`."""
+        """The reply to an agent-check: `ready`, `up N%` while it asks for less traffic, `drain` or `down`."""
         if self.stopping or self.drain_requested:
             return "drain"
         if not self.engines_listed or not self.decode_engines:
@@ -36,30 +36,31 @@
 
     @property
     def reason(self) -> str:
+        """A short explanation for operators."""
         if self.stopping or self.drain_requested:
-            return "drains: takes no more"
+            return "draining: takes no more requests"
         if not self.engines_listed:
-            return "no list of engines yet"
-        return "takes reqs" if self.decode_engines else "no engine left that writes"
+            return "no engine list yet"
+        return "takes requests" if self.decode_engines else "no decode engine is ready"
 
 
 async def serve_agent_check(
-    condition: Callable[[], RouterStatus], _: asyncio.StreamReader, writer: asyncio.StreamWriter
+    status: Callable[[], RouterStatus], _: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """One agent-check: a word and a line's end, then closed."""
+    """Answers one agent-check with a line, then closes the connection."""
     with contextlib.suppress(ConnectionError):
-        writer.write(f"{condition().agent_reply}\n".encode())
+        writer.write(f"{status().agent_reply}\n".encode())
         await writer.drain()
     writer.close()
 
 
 async def serve_http(
-    condition: Callable[[], RouterStatus],
+    status: Callable[[], RouterStatus],
     metrics: Callable[[], bytes],
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """/live, /ready and /metrics, one answer a connection."""
+    """Serves /live, /ready and /metrics, one answer a connection."""
     parser = http1.ReqParser(8192, 8192)
     with contextlib.suppress(ConnectionError, TimeoutError, HttpError):
         async with asyncio.timeout(5):
@@ -70,10 +71,10 @@
                 parser.feed(data)
             else:
                 path = parser.ready[0].path.partition("?")[0]
-                now = condition()
-                status, body = {
+                current = status()
+                code, body = {
                     "/live": (200, b"live\n"),
-                    "/ready": (200 if now.ready else 503, f"{now.reason}\n".encode()),
+                    "/ready": (200 if current.ready else 503, f"{current.reason}\n".encode()),
                     "/metrics": (200, b"" if path != "/metrics" else metrics()),
                 }.get(path, (404, b"expected /live, /ready or /metrics\n"))
                 fields = {
@@ -81,6 +82,6 @@
                     "content-length": str(len(body)),
                     "connection": "close",
                 }
-                writer.write(http1.answer_head(status, fields) + body)
+                writer.write(http1.answer_head(code, fields) + body)
                 await writer.drain()
     writer.close()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Processes: up, stop, kill, restart, dead routers, health, and the public client library."""
+"""Real processes: start, stop, kill and restart, dead routers, health, and the public client library."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 
 class Processes:
-    """A stage of real processes in a directory of its own."""
+    """A test fleet of real processes in a directory of its own."""
 
     def __init__(self, path, text=SCRIPT):
         self.file = path / "fleet.star"
@@ -43,17 +43,20 @@
     return stage.address("r")
 
 
-async def agent(stage):
+async def agent_check(stage):
     host, _, port = stage.routers["r"]["agent"].rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
-    word = await reader.read(-1)
+    reply = await reader.read(-1)
     writer.close()
-    return word
+    return reply
 
 
-def lifthead(*words, **more):
+def lifthead(*arguments, **options):
     return subprocess.run(
-        [sys.executable, "-m", "lifthead.cli", *map(str, words)], capture_output=True, text=True, **more
+        [sys.executable, "-m", "lifthead.cli", *map(str, arguments)],
+        capture_output=True,
+        text=True,
+        **options,
     )
 
 
@@ -62,70 +65,70 @@
         async with Processes(tmp_path) as stage:
             url = stage.routers["r"]["base_url"]
             client = openai.AsyncOpenAI(base_url=url, api_key=KEY, max_retries=0)
-            asked = {
+            question = {
                 "model": "m",
                 "messages": [{"role": "user", "content": "why was it declined?"}],
                 "max_tokens": 12,
             }
-            whole = await client.chat.completions.create(**asked)
-            parts = [part async for part in await client.chat.completions.create(**asked, stream=True)]
+            whole = await client.chat.completions.create(**question)
+            parts = [part async for part in await client.chat.completions.create(**question, stream=True)]
             text = "".join(part.choices[0].delta.content or "" for part in parts if part.choices)
             assert whole.choices[0].message.content == text and whole.choices[0].finish_reason == "stop"
-            used = [
+            usage = [
                 part.usage
                 async for part in await client.chat.completions.create(
-                    **asked, stream=True, stream_options={"include_usage": True}
+                    **question, stream=True, stream_options={"include_usage": True}
                 )
             ][-1]
-            assert used.completion_tokens == whole.usage.completion_tokens
+            assert usage.completion_tokens == whole.usage.completion_tokens
             assert [model.id async for model in client.models.list()] == ["m", "once"]
             with pytest.raises(openai.NotFoundError):
-                await client.chat.completions.create(**asked | {"model": "none"})
+                await client.chat.completions.create(**question | {"model": "none"})
             with pytest.raises(openai.BadRequestError):
-                await client.chat.completions.create(**asked | {"messages": []})
+                await client.chat.completions.create(**question | {"messages": []})
             with pytest.raises(openai.AuthenticationError):
-                await client.with_options(api_key="nobody-knows").chat.completions.create(**asked)
+                await client.with_options(api_key="nobody-knows").chat.completions.create(**question)
             for name in ("wr", "wr2"):
                 await stage.fault(name, "full", 30_000_000, 1.0, 1.0, "chat")
             with pytest.raises(openai.InternalServerError) as problem:
-                await client.chat.completions.create(**asked)
+                await client.chat.completions.create(**question)
             assert problem.value.status_code == 503 and "retry-after" in problem.value.response.headers
             for name in ("wr", "wr2"):
                 await stage.fault(name, "full", 0, 1.0, 1.0, "chat")
                 await stage.fault(name, "reset", 30_000_000, 1.0, 1.0, "")
             with pytest.raises(openai.APIError):
-                for _ in range(8):  # where the reset falls is drawn: before the first token or in the stream
+                for _ in range(8):  # the reset falls at random before the first token or within the stream
                     async for _ in await client.chat.completions.create(
-                        **asked | {"model": "once"}, stream=True
+                        **question | {"model": "once"}, stream=True
                     ):
                         pass
 
     run(play())
 
 
-def test_a_stop_answers_every_req_in_every_stage(tmp_path):
+def test_a_stop_answers_every_request_whatever_its_progress(tmp_path):
     async def play():
         async with Processes(tmp_path) as stage:
             await stage.fault("rd", "slow", 30_000_000, 1.0, 8.0, "")
             await stage.fault("wr", "slow", 30_000_000, 1.0, 6.0, "")
-            at = address(stage)
-            tries = [
-                asyncio.create_task(raw(at, http(body(text, stream=stream, max_tokens=30)), within=15))
+            router = address(stage)
+            requests = [
+                asyncio.create_task(raw(router, http(body(text, stream=stream, max_tokens=30)), within=15))
                 for text in ("hi", "fuel card " * 2500)
                 for stream in (True, False)
                 for _ in range(10)
             ]
             await asyncio.sleep(0.4)
-            said = await admin.ask(stage.routers["r"]["admin"], {"ask": "stop"})
-            assert said["reqs"] >= 20 and said["state"] == "drain"
-            assert await agent(stage) == b"drain\n"
+            state = await admin.ask(stage.routers["r"]["admin"], {"ask": "stop"})
+            assert state["reqs"] >= 20 and state["state"] == "drain"
+            assert await agent_check(stage) == b"drain\n"
             with pytest.raises(OSError):
                 await asyncio.sleep(0.1)
-                await asyncio.open_connection(*at.split(":"))
-            answers = await asyncio.gather(*tries)
+                await asyncio.open_connection(*router.split(":"))
+            answers = await asyncio.gather(*requests)
             assert all(answer for answer in answers)
-            ends = [int(answer.split()[1]) for answer in answers]
-            assert set(ends) <= {200, 503, 504}
+            statuses = [int(answer.split()[1]) for answer in answers]
+            assert set(statuses) <= {200, 503, 504}
             assert all(b"[DONE]" in answer for answer in answers if b"event-stream" in answer)
             process = stage._processes["r"]
             assert await process.wait() == 0
@@ -137,26 +140,26 @@
 def test_a_killed_router_is_reported_dead_and_comes_back(tmp_path):
     async def play():
         async with Processes(tmp_path) as stage:
-            tries = [
+            requests = [
                 asyncio.create_task(raw(address(stage), http(body(stream=True, max_tokens=400))))
                 for _ in range(5)
             ]
             await asyncio.sleep(0.2)
             await stage.end("r", signal.SIGKILL)
-            for answer in await asyncio.gather(*tries, return_exceptions=True):
+            for answer in await asyncio.gather(*requests, return_exceptions=True):
                 assert isinstance(answer, OSError) or b"[DONE]" not in answer
             began = time.monotonic()
-            said = await asyncio.to_thread(lifthead, "routers", "--run", tmp_path, "--json")
+            command = await asyncio.to_thread(lifthead, "routers", "--run", tmp_path, "--json")
             took = time.monotonic() - began
             assert (
-                said.returncode == 1
-                and json.loads(said.stdout) == [{"name": "r", "state": "dead"}]
+                command.returncode == 1
+                and json.loads(command.stdout) == [{"name": "r", "state": "dead"}]
                 and took < 2
             )
             await stage.start_router("r")
             assert b"[DONE]" in await raw(address(stage), http(body(stream=True)))
-            said = await asyncio.to_thread(lifthead, "routers", "--run", tmp_path, "--json")
-            assert said.returncode == 0 and json.loads(said.stdout)[0]["state"] == "ready"
+            command = await asyncio.to_thread(lifthead, "routers", "--run", tmp_path, "--json")
+            assert command.returncode == 0 and json.loads(command.stdout)[0]["state"] == "ready"
 
     run(play())
 
@@ -165,11 +168,11 @@
     async def play():
         async with Processes(tmp_path) as stage:
             health = stage.routers["r"]["health"]
-            assert (await call(health, "GET", "/ready"))[0] == 200 and await agent(stage) == b"ready\n"
+            assert (await call(health, "GET", "/ready"))[0] == 200 and await agent_check(stage) == b"ready\n"
             assert (
                 await asyncio.to_thread(lifthead, "drain", "r", "--run", tmp_path, "--json")
             ).returncode == 0
-            assert (await call(health, "GET", "/ready"))[0] == 503 and await agent(stage) == b"drain\n"
+            assert (await call(health, "GET", "/ready"))[0] == 503 and await agent_check(stage) == b"drain\n"
             assert (await call(health, "GET", "/live"))[0] == 200
             assert b"not_ready" in await raw(address(stage), http(body()))
             await asyncio.to_thread(lifthead, "drain", "r", "--undo", "--run", tmp_path)
@@ -177,19 +180,19 @@
             assert b"[DONE]" in await raw(address(stage), http(body(stream=True)))
             assert b"lifthead_reqs_ended_total" in (await call(health, "GET", "/metrics"))[1]
             assert (await call(health, "GET", "/none"))[0] == 404
-            seen = json.loads(
+            engines = json.loads(
                 (await asyncio.to_thread(lifthead, "engines", "--run", tmp_path, "--json")).stdout
             )
-            assert [row["name"] for row in seen["r"]] == ["rd", "wr", "wr2"]
+            assert [row["name"] for row in engines["r"]] == ["rd", "wr", "wr2"]
             await stage.say("gone", "wr", "wr2")
             await asyncio.sleep(0.2)
-            assert await agent(stage) == b"down\n" and (await call(health, "GET", "/ready"))[0] == 503
+            assert await agent_check(stage) == b"down\n" and (await call(health, "GET", "/ready"))[0] == 503
 
     run(play())
 
 
 @pytest.mark.parametrize(
-    ("facts", "word", "ready"),
+    ("facts", "agent_reply", "ready"),
     [
         ((True, 3, False, False, 100), "ready", True),
         ((True, 3, False, False, 55), "up 55%", True),
@@ -199,40 +202,40 @@
         ((True, 3, False, True, 20), "drain", False),
     ],
 )
-def test_the_word_to_balancers(facts, word, ready):
-    condition = RouterStatus(*facts)
-    assert (condition.agent_reply, condition.ready) == (word, ready)
+def test_what_a_router_reports_to_load_balancers(facts, agent_reply, ready):
+    status = RouterStatus(*facts)
+    assert (status.agent_reply, status.ready) == (agent_reply, ready)
 
 
-def test_a_port_or_a_ledger_that_another_has_is_one_line(tmp_path):
+def test_a_port_or_a_ledger_that_is_in_use_gets_one_line_of_error(tmp_path):
     async def play():
         async with Processes(tmp_path, SCRIPT + "ledger()\n") as stage:
-            at = address(stage)
+            in_use = address(stage)
             for text in (
                 SCRIPT + "ledger()\n",
-                SCRIPT.replace('zone = "a")\ngroup', f'zone = "a", listen = "{at}")\ngroup'),
+                SCRIPT.replace('zone = "a")\ngroup', f'zone = "a", listen = "{in_use}")\ngroup'),
             ):
                 file = tmp_path / "second.star"
                 file.write_text(text)
-                run_dir = tmp_path if "ledger" in text else tmp_path / "other"
-                found = await asyncio.to_thread(lifthead, "serve", file, "--run", run_dir)
-                assert found.returncode == 2 and "Traceback" not in found.stderr, found.stderr
-                assert found.stderr.splitlines()[-1].startswith("r: ")
+                run_directory = tmp_path if "ledger" in text else tmp_path / "other"
+                command = await asyncio.to_thread(lifthead, "serve", file, "--run", run_directory)
+                assert command.returncode == 2 and "Traceback" not in command.stderr, command.stderr
+                assert command.stderr.splitlines()[-1].startswith("r: ")
 
     run(play())
 
 
-def test_a_day_that_is_stopped_takes_its_processes_along(tmp_path):
-    day = subprocess.Popen(
+def test_a_scenario_that_is_stopped_ends_its_processes(tmp_path):
+    scenario = subprocess.Popen(
         [sys.executable, "-m", "lifthead.cli", "day", "examples/quiet.star", "--out", tmp_path],
         stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
     )  # fmt: skip
     until = time.monotonic() + 20
     while not list(tmp_path.glob("*.sock")) and time.monotonic() < until:
         time.sleep(0.1)
-    children = Path(f"/proc/{day.pid}/task/{day.pid}/children").read_text().split()
-    day.terminate()
-    day.wait(20)
+    children = Path(f"/proc/{scenario.pid}/task/{scenario.pid}/children").read_text().split()
+    scenario.terminate()
+    scenario.wait(20)
     assert len(children) > 5 and not [pid for pid in children if Path(f"/proc/{pid}").exists()]
 
 
@@ -254,7 +257,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "code", "said"),
+    ("arguments", "code", "message"),
     [
         (["check", "/no/such.star"], 2, "can't be read"),
         (["serve", "examples/quiet.star"], 2, "--router: expected one of"),
@@ -262,6 +265,6 @@
         (["verify", "/no/such"], 2, "not a day's records"),
     ],
 )
-def test_bad_use_gets_one_line(words, code, said):
-    found = lifthead(*words)
-    assert found.returncode == code and said in found.stderr and found.stderr.count("\n") == 1
+def test_wrong_use_gets_one_line_of_error(arguments, code, message):
+    command = lifthead(*arguments)
+    assert command.returncode == code and message in command.stderr and command.stderr.count("\n") == 1
