--- a/lifthead/deployment/__init__.py
+++ b/lifthead/deployment/__init__.py
@@ -1,1 +1,1 @@
-"""The settings script: read, checked, and turned into what a router is started with."""
+"""The settings script: runs it, checks it, and derives each router's start settings from it."""
--- a/lifthead/deployment/derive.py
+++ b/lifthead/deployment/derive.py
@@ -1,13 +1,13 @@
-"""From a fleet's description to what one router of it is started with."""
+"""Derives the start settings of one router from the description of its fleet."""
 
 from lifthead.deployment.fleet import Fleet
 from lifthead.interface import Deployment, Effect, EndpointGroup, Tenant
 
-TICK = 10_000  # how late the loop may turn to a deadline: the grain of the daemon's clock
+TICK = 10_000  # microseconds by which the event loop may be late for a timer
 
 
 def deployment(fleet: Fleet, router: str, seed: int) -> Deployment:
-    """Start settings of the decision module for this router of the fleet."""
+    """The start settings of the decision module of this router."""
     rules = fleet.rules
     return Deployment(
         zone=fleet.routers[router].zone,
--- a/lifthead/deployment/script.py
+++ b/lifthead/deployment/script.py
@@ -1,7 +1,8 @@
-"""Runs a settings script (Starlark) and gathers what it describes.
+"""Runs a settings script (Starlark) and collects what it describes.
 
-The script calls one function for each thing: kind, engine, group, tenant, router, rules, limits, headers,
-stand_in, crowd, trouble. It has no files, no clock and no `load`; steps and memory are bounded.
+The script calls one function for each thing that it describes: kind, engine, group, tenant, router, rules,
+limits, headers, ledger, budget, stand_in, crowd, mix, trouble. It has no files, no clock and no `load`; its
+steps and its memory are bounded.
 """
 
 from pathlib import Path
@@ -19,7 +20,7 @@
 
 MAX_BYTES = 1 << 20
 MAX_STEPS = 2_000_000
-MAX_ALLOCATED = 64 << 20  # bytes over the whole run, roughly
+MAX_ALLOCATED = 64 << 20  # bytes allocated over the whole run, roughly
 
 
 class ScriptError(Exception):
@@ -41,37 +42,38 @@
 
 
 def run(text: str, name: str) -> fleet.Fleet:
-    """Runs the text of a script; `name` stands in its errors."""
-    found = fleet.Fleet(
+    """Runs the text of a script; its errors begin with `name`."""
+    described = fleet.Fleet(
         kinds={}, engines={}, groups={}, tenants={}, routers={}, stand_ins={}, budgets={}, troubles=[]
     )
-    places = {
-        "kind": _keyed(fleet.Kind, found.kinds, "name"),
-        "engine": _keyed(fleet.EngineSpec, found.engines, "name"),
-        "group": _keyed(fleet.Group, found.groups, "name"),
-        "tenant": _keyed(fleet.TenantSpec, found.tenants, "name"),
-        "router": _keyed(fleet.RouterSpec, found.routers, "name"),
-        "stand_in": _keyed(fleet.StandIn, found.stand_ins, "kind"),
-        "rules": _single(fleet.Rules, found, "rules"),
-        "limits": _single(fleet.Limits, found, "limits"),
-        "headers": _single(fleet.Headers, found, "headers"),
-        "ledger": _single(fleet.LedgerSettings, found, "ledger"),
-        "budget": _keyed(fleet.BudgetSettings, found.budgets, "tenant"),
-        "crowd": _single(fleet.ClientLoad, found, "crowd"),
+    functions = {
+        "kind": _add_to(fleet.Kind, described.kinds, "name"),
+        "engine": _add_to(fleet.EngineSpec, described.engines, "name"),
+        "group": _add_to(fleet.Group, described.groups, "name"),
+        "tenant": _add_to(fleet.TenantSpec, described.tenants, "name"),
+        "router": _add_to(fleet.RouterSpec, described.routers, "name"),
+        "stand_in": _add_to(fleet.StandIn, described.stand_ins, "kind"),
+        "rules": _set_once(fleet.Rules, described, "rules"),
+        "limits": _set_once(fleet.Limits, described, "limits"),
+        "headers": _set_once(fleet.Headers, described, "headers"),
+        "ledger": _set_once(fleet.LedgerSettings, described, "ledger"),
+        "budget": _add_to(fleet.BudgetSettings, described.budgets, "tenant"),
+        "crowd": _set_once(fleet.ClientLoad, described, "crowd"),
         "mix": lambda **fields: to_value({key: from_value(value) for key, value in fields.items()}),
-        "trouble": lambda what=None, **fields: found.troubles.append(
-            _checked(fleet.FaultSpec, {"what": what, **fields}, "trouble")
+        "trouble": lambda what=None, **fields: described.troubles.append(
+            _convert(fleet.FaultSpec, {"what": what, **fields}, "trouble")
         ),
     }
-    _execute(text, name, places)
-    problem = find_inconsistency(found)
+    _execute(text, name, functions)
+    problem = find_inconsistency(described)
     if problem:
         raise ScriptError(f"{name}: {problem}")
-    return found
+    return described
 
 
 def read_engines(text: str, name: str) -> dict[str, fleet.EngineSpec]:
-    """The engines of a file that holds nothing else; `total(N)` guards against one that was cut short."""
+    """The engines of a file that describes nothing else. A call of `total(N)` in it protects against a file
+    that was cut short."""
     found: dict[str, fleet.EngineSpec] = {}
     totals: list[int] = []
 
@@ -80,124 +82,127 @@
             raise EvalError(f"total: expected a whole number, got {many!r}")
         totals.append(many)
 
-    _execute(text, name, {"engine": _keyed(fleet.EngineSpec, found, "name"), "total": total})
+    _execute(text, name, {"engine": _add_to(fleet.EngineSpec, found, "name"), "total": total})
     if totals and totals[0] != len(found):
-        raise ScriptError(f"{name}: total({totals[0]}) stands in it, but {len(found)} engines do")
+        raise ScriptError(f"{name}: total({totals[0]}) does not match the {len(found)} engines in it")
     return found
 
 
-def _execute(text: str, name: str, places: dict[str, Any]) -> None:
-    """Runs a script with these functions and no others."""
-    builtins = {word: BuiltinFunction(word, act) for word, act in places.items()}
+def _execute(text: str, name: str, functions: dict[str, Any]) -> None:
+    """Runs a script that may call these functions and no others."""
+    builtins = {word: BuiltinFunction(word, function) for word, function in functions.items()}
     try:
         starlark.exec_file(
             text, name, predeclared=builtins, max_steps=MAX_STEPS, max_allocs=MAX_ALLOCATED
-        )  # no loader is given: load() is refused
+        )  # without a loader, load() is an error
     except StarlarkSyntaxException as problem:
         raise ScriptError(str(problem.errors[0])) from None
     except ResourceLimitExceeded as problem:
         raise ScriptError(
-            f"{_place(problem, name)}: the script takes too many steps or too much memory"
+            f"{_position(problem, name)}: the script takes too many steps or too much memory"
         ) from None
     except EvalError as problem:
-        raise ScriptError(f"{_place(problem, name)}: {problem.message}") from None
+        raise ScriptError(f"{_position(problem, name)}: {problem.message}") from None
 
 
-def _place(problem: EvalError, name: str) -> str:
+def _position(problem: EvalError, name: str) -> str:
     known = [frame.position for frame in problem.frames if frame.position]
     return str(known[0]) if known else name
 
 
-def _checked(kind: type, fields: dict[str, Any], what: str) -> Any:
+def _convert(call_type: type, fields: dict[str, Any], function: str) -> Any:
+    """The arguments of one call as a struct; EvalError names the function and the field that is wrong."""
     try:
         return msgspec.convert(
-            {key: from_value(value) for key, value in fields.items()}, kind, dec_hook=_hook
+            {key: from_value(value) for key, value in fields.items()}, call_type, dec_hook=_convert_time
         )
     except msgspec.ValidationError as problem:
-        said, _, at = str(problem).partition(" - at `$")
+        message, _, at = str(problem).partition(" - at `$")
         field = at.rstrip("`").lstrip(".")
-        raise EvalError(f"{what}{f', field {field}' if field else ''}: {said}") from None
+        raise EvalError(f"{function}{f', field {field}' if field else ''}: {message}") from None
 
 
-def _hook(kind: type, value: object) -> object:
-    if kind is Microseconds and isinstance(value, str):
+def _convert_time(field_type: type, value: object) -> object:
+    if field_type is Microseconds and isinstance(value, str):
         return parse_duration(value)
     raise ValueError(f"expected a time in quotes, such as '250ms', got {value!r}")
 
 
-def _keyed(kind: type, into: dict, key: str):
+def _add_to(call_type: type, into: dict, key: str):
+    """A script function that adds what it describes to a dictionary, by the field `key`, which may also be
+    given as the first argument."""
+
     def add(first: object = None, **fields: object) -> None:
-        entry = _checked(kind, {key: first, **fields} if first is not None else fields, kind.__name__.lower())
-        name = getattr(entry, key)
+        call = _convert(
+            call_type, {key: first, **fields} if first is not None else fields, call_type.__name__.lower()
+        )
+        name = getattr(call, key)
         if name in into:
-            raise EvalError(f"{kind.__name__.lower()} {name!r} stands twice")
-        into[name] = entry
+            raise EvalError(f"{call_type.__name__.lower()} {name!r} is described twice")
+        into[name] = call
 
     return add
 
 
-def _single(kind: type, found: fleet.Fleet, field: str):
-    seen = []
+def _set_once(call_type: type, described: fleet.Fleet, field: str):
+    """A script function that sets a field of the fleet and may be called once."""
+    calls = []
 
     def put(**fields: object) -> None:
-        if seen:
-            raise EvalError(f"{field}() stands twice")
-        seen.append(field)
-        setattr(found, field, _checked(kind, fields, field))
+        if calls:
+            raise EvalError(f"{field}() is called twice")
+        calls.append(field)
+        setattr(described, field, _convert(call_type, fields, field))
 
     return put
 
 
-def find_inconsistency(found: fleet.Fleet) -> str:
-    """What does not fit together in a script whose parts are each well formed; "" if all does."""
-    for need, what in (
-        (found.kinds, "kind"),
-        (found.engines, "engine"),
-        (found.groups, "group"),
-        (found.tenants, "tenant"),
-        (found.routers, "router"),
+def find_inconsistency(described: fleet.Fleet) -> str:
+    """What doesn't fit together in a script whose calls are each valid; "" if all does."""
+    for needed, function in (
+        (described.kinds, "kind"),
+        (described.engines, "engine"),
+        (described.groups, "group"),
+        (described.tenants, "tenant"),
+        (described.routers, "router"),
     ):
-        if not need:
-            return f"no {what}() stands in it, expected one at least"
+        if not needed:
+            return f"no call of {function}(), expected one at least"
     addresses, models, keys = {}, {}, {}
-    for engine in found.engines.values():
-        if engine.kind not in found.kinds:
-            known = list(found.kinds)
-            return f"engine {engine.name}, field kind: {engine.kind!r} is no kind(), expected one of {known}"
+    for engine in described.engines.values():
+        if engine.kind not in described.kinds:
+            known = list(described.kinds)
+            return f"engine {engine.name}, field kind: no kind({engine.kind!r}), expected one of {known}"
         if not engine.address.endswith(":0") and engine.address in addresses:
             other = addresses[engine.address]
-            return f"engine {engine.name}, field address: {engine.address} is {other}'s already"
+            return f"engine {engine.name}, field address: {engine.address} belongs to {other}"
         addresses[engine.address] = engine.name
-    if all(found.kinds[engine.kind].role == "read" for engine in found.engines.values()):
-        return "no engine writes, expected one at least whose kind has role 'write' or 'both'"
-    for group in found.groups.values():
+    if all(described.kinds[engine.kind].role == "read" for engine in described.engines.values()):
+        return "no engine decodes, expected one at least whose kind has role 'write' or 'both'"
+    for group in described.groups.values():
         for model in group.models:
             if model in models:
-                return f"group {group.name}, field models: {model!r} is {models[model]}'s already"
+                return f"group {group.name}, field models: {model!r} belongs to {models[model]}"
             models[model] = group.name
-    for tenant in found.tenants.values():
+    for tenant in described.tenants.values():
         for key in tenant.keys:
             if key in keys:
-                return f"tenant {tenant.name}, field keys: a key is {keys[key]}'s already"
+                return f"tenant {tenant.name}, field keys: a key belongs to {keys[key]}"
             keys[key] = tenant.name
-    for kind in found.stand_ins:
-        if kind not in found.kinds:
-            return f"stand_in {kind}: no such kind(), expected one of {list(found.kinds)}"
-    for mix in found.crowd.mix if found.crowd else ():
-        if mix.group not in found.groups:
-            return (
-                f"crowd, field mix: group {mix.group!r} is no group(), expected one of {list(found.groups)}"
-            )
-    for tenant in found.budgets:
-        if tenant not in found.tenants:
-            return f"budget {tenant}: no such tenant(), expected one of {list(found.tenants)}"
-    if found.budgets and not found.ledger:
-        return "budget() needs ledger(): what was used is read from it"
-    if found.ledger:
+    for kind in described.stand_ins:
+        if kind not in described.kinds:
+            return f"stand_in {kind}: no such kind(), expected one of {list(described.kinds)}"
+    for mix in described.crowd.mix if described.crowd else ():
+        if mix.group not in described.groups:
+            return f"crowd, field mix: no group({mix.group!r}), expected one of {list(described.groups)}"
+    for tenant in described.budgets:
+        if tenant not in described.tenants:
+            return f"budget {tenant}: no such tenant(), expected one of {list(described.tenants)}"
+    if described.budgets and not described.ledger:
+        return "budget() needs ledger(), which records the usage"
+    if described.ledger:
         try:
-            ZoneInfo(found.ledger.zone)
+            ZoneInfo(described.ledger.zone)
         except (OSError, ValueError, LookupError):
-            return (
-                f"ledger, field zone: {found.ledger.zone!r} is no time zone, expected one as America/Recife"
-            )
+            return f"ledger, field zone: {described.ledger.zone!r} is not a time zone such as America/Recife"
     return ""
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("kind('a', role='red', memory=1)", "x.star:1:1: kind, field role"),
         ("\nkind('a', role='read', memory=0)", "x.star:2:1: kind, field memory: Expected `int` >= 1"),
@@ -32,48 +32,53 @@
         ("def f(): f()\nf()", "recurs"),
         ("load('a.star', 'b')", "load() not allowed"),
         ("open('x')", "name 'open' is not defined"),
-        (GOOD + "kind('r', role='read', memory=1)", "kind 'r' stands twice"),
-        (GOOD + "rules()\nrules()", "rules() stands twice"),
+        (GOOD + "kind('r', role='read', memory=1)", "kind 'r' is described twice"),
+        (GOOD + "rules()\nrules()", "rules() is called twice"),
         (GOOD + "engine('w2', zone='a', kind='no')", "engine w2, field kind"),
         (GOOD + "group('h', models=['m'], target='1s', deadline='2s')", "group h, field models"),
         (GOOD + "tenant('u', keys=['12345678'], share_per_s=1.0)", "tenant u, field keys"),
-        (GOOD.replace('role = "write"', 'role = "read"'), "no engine writes"),
-        (GOOD.replace("router(", "dict(router=").replace('"one"', '"one"'), "no router() stands in it"),
+        (GOOD.replace('role = "write"', 'role = "read"'), "no engine decodes"),
+        (GOOD.replace("router(", "dict(router=").replace('"one"', '"one"'), "no call of router()"),
         (
             GOOD + "".join(f"engine('{n}', zone='a', kind='w', address='h:1')\n" for n in "xy"),
-            "engine y, field address: h:1 is x's already",
+            "engine y, field address: h:1 belongs to x",
         ),
     ],
 )
-def test_what_is_wrong_is_said_with_its_place(text, said):
+def test_errors_name_the_position_and_the_field(text, message):
     with pytest.raises(script.ScriptError) as problem:
         script.run(text, "x.star")
-    assert said in str(problem.value) and "\n" not in str(problem.value)
+    assert message in str(problem.value) and "\n" not in str(problem.value)
 
 
-def test_a_script_becomes_start_settings():
-    start = derive.deployment(script.run(GOOD, "x.star"), "one", 5)
-    assert (start.zone, start.routers, start.seed, start.roles) == ("a", 1, 5, {"r": "read", "w": "write"})
-    assert start.groups["g"].target == 1_000_000 and start.tenants["t"].quota_per_s == 2.0
+def test_the_start_settings_derived_from_a_script():
+    settings = derive.deployment(script.run(GOOD, "x.star"), "one", 5)
+    assert (settings.zone, settings.routers, settings.seed, settings.roles) == (
+        "a",
+        1,
+        5,
+        {"r": "read", "w": "write"},
+    )
+    assert settings.groups["g"].target == 1_000_000 and settings.tenants["t"].quota_per_s == 2.0
 
 
-@pytest.mark.parametrize("text", ["/no/such.star", "."])
-def test_a_file_that_cannot_be_read(text):
+@pytest.mark.parametrize("path", ["/no/such.star", "."])
+def test_a_script_that_cannot_be_read(path):
     with pytest.raises(script.ScriptError, match="can't be read"):
-        script.read(text)
+        script.read(path)
 
 
 @pytest.mark.parametrize("path", sorted(Path("examples").glob("*.star")), ids=str)
-def test_the_examples_can_be_used(path):
+def test_the_examples_are_valid_scripts(path):
     assert script.read(path).crowd
 
 
 @pytest.mark.parametrize(("text", "value"), [("250ms", 250_000), ("1.5s", 1_500_000), ("2m30s", 150_000_000)])
-def test_times(text, value):
+def test_durations(text, value):
     assert parse_duration(text) == value
 
 
 @pytest.mark.parametrize("text", ["", "5", "ms", "5 s s", "-1s", "1e3s"])
-def test_no_times(text):
+def test_malformed_durations(text):
     with pytest.raises(ValueError, match="expected a time"):
         parse_duration(text)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -52,10 +52,10 @@
     ("said", "why"),
     [
         (text(*TEN)[:-9], "syntax error"),
-        (text(*TEN[:9], total=10), "total(10) stands in it, but 9 engines do"),
+        (text(*TEN[:9], total=10), "total(10) does not match the 9 engines in it"),
         ("", "no engine in it writes"),
         (text("r1", "r2"), "no engine in it writes"),
-        (text("w1", "w1"), "engine 'w1' stands twice".replace("engine", "enginespec")),
+        (text("w1", "w1"), "engine 'w1' is described twice".replace("engine", "enginespec")),
         (
             text("w1") + 'engine("w2", zone = "a", kind = "writer", address = "h:1")',
             "field address: h:1 is w1's already",
