--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -343,9 +343,9 @@
 def test_no_list_no_reqs_and_none_left(tmp_path):
     async def play():
         async with Loopback(tmp_path, engines=("rd", "wr")) as loop:
-            assert loop.daemon.condition().word == "ready"
+            assert loop.daemon.condition().agent_reply == "ready"
             loop.tell(wr="gone")
-            assert loop.daemon.condition().word == "down" and not loop.daemon.condition().ready
+            assert loop.daemon.condition().agent_reply == "down" and not loop.daemon.condition().ready
             status, said, head = await ask(loop.address, body())
             assert status == 503 and "retry-after" in head
             loop.daemon.host.listed_at = 0
