--- a/lifthead/deployment/derive.py
+++ b/lifthead/deployment/derive.py
@@ -1,13 +1,13 @@
-"""From a fleet's description to what one router of it is started with."""
+"""Derives the start settings of one router from the description of its fleet."""
 
 from lifthead.deployment.fleet import Fleet
 from lifthead.interface import Deployment, Idempotency, RequestClass, Tenant
 
-TICK = 10_000  # how late the loop may turn to a deadline: the grain of the daemon's clock
+TICK = 10_000  # microseconds by which the event loop may be late for a timer
 
 
 def deployment(fleet: Fleet, router: str, seed: int) -> Deployment:
-    """Start settings of the decision module for this router of the fleet."""
+    """The start settings of the decision module of this router."""
     rules = fleet.rules
     return Deployment(
         zone=fleet.routers[router].zone,
@@ -15,19 +15,19 @@
         tick=TICK,
         seed=seed,
         request_classes={
-            group.name: RequestClass(
-                group.name,
-                Idempotency(group.effect),
-                group.keyed_within,
-                group.keyed_for,
-                group.target,
-                group.target_per_1000,
-                group.deadline,
-                group.token_target,
-                group.importance,
-                group.late_share,
+            request_class.name: RequestClass(
+                request_class.name,
+                Idempotency(request_class.effect),
+                request_class.keyed_within,
+                request_class.keyed_for,
+                request_class.target,
+                request_class.target_per_1000,
+                request_class.deadline,
+                request_class.token_target,
+                request_class.importance,
+                request_class.late_share,
             )
-            for group in fleet.groups.values()
+            for request_class in fleet.groups.values()
         },
         tenants={tenant.name: Tenant(tenant.name, tenant.share_per_s) for tenant in fleet.tenants.values()},
         role_by_kind={kind.name: kind.role for kind in fleet.kinds.values()},
--- a/lifthead/hosting.py
+++ b/lifthead/hosting.py
@@ -19,7 +19,7 @@
 from lifthead import control
 from lifthead.chat.server import Reply
 from lifthead.engines.codec import PROVEN_NOT_RUN, Observation
-from lifthead.engines.link import Connection, Link
+from lifthead.engines.link import Connection, ConnectionPool
 from lifthead.guard import HELD_STATE_SLACK, Attempt, Refusal, RequestGuard, Rule, Violations, Work
 from lifthead.http1 import Message
 from lifthead.interface import Deployment, RequestSpec
@@ -83,7 +83,7 @@
 class Endpoint:
     """An engine as the host knows it: its connections, and whether it accepts new work."""
 
-    link: Link
+    link: ConnectionPool
     kind: str
     readiness: str
     readiness_since: int
@@ -121,7 +121,7 @@
         self._finished_guards: deque[tuple[int, RequestGuard]] = deque()
         self.start_times = StartTimes(wall_clock_offset())
 
-    def _link(self, address: str) -> Link:
+    def _link(self, address: str) -> ConnectionPool:
         raise NotImplementedError
 
     def _run_attempt(self, pending: Any, attempt: Any, abandon_at: int) -> Coroutine[Any, Any, None]:
@@ -344,14 +344,14 @@
         if connection is None:
             return
         if observation in REUSABLE:
-            endpoint.link.give(connection)
+            endpoint.link.put_back(connection)
             return
         may_hold_state = (
             attempt.may_have_arrived and pending.guard.releases.open and not pending.answer_started
         )
         if may_hold_state and observation not in ANSWERED:
-            attempt.peer_closed = connection.ended
-            if not attempt.peer_closed and connection.end_sending():
+            attempt.peer_closed = connection.peer_closed
+            if not attempt.peer_closed and connection.half_close():
                 self._half_closed[connection] = None
                 peer_close = self._await_peer_close(pending.guard, attempt, connection)
                 self._spawn(
@@ -367,7 +367,7 @@
     ) -> None:
         """Waits for the engine to close its side of a half-closed connection."""
         if (
-            await connection.ends(PEER_CLOSE_TIMEOUT, PEER_CLOSE_MAX_BYTES)
+            await connection.peer_closes(PEER_CLOSE_TIMEOUT, PEER_CLOSE_MAX_BYTES)
             and connection in self._half_closed
         ):
             guard.on_peer_closed(attempt, now())
--- a/lifthead/node/engines.py
+++ b/lifthead/node/engines.py
@@ -42,7 +42,7 @@
 
 # Bytes that are not the protocol say nothing about the engine's machine, so they count as an error of its
 # program.
-OUTCOMES = {**codec.ENDINGS, Observation.STRANGE: (AttemptOutcome.ERROR, 0)}
+OUTCOMES = {**codec.OUTCOMES, Observation.STRANGE: (AttemptOutcome.ERROR, 0)}
 
 
 class _PrefillAnswer(msgspec.Struct):
--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -16,7 +16,7 @@
 from lifthead import control, hosting
 from lifthead.chat.server import Reply
 from lifthead.engines.codec import Observation
-from lifthead.engines.link import Connection, Lasting, Link, UnwrittenError
+from lifthead.engines.link import Connection, ConnectionPool, IdleLimit, NotSentError
 from lifthead.events import Event, EventLog, Record
 from lifthead.guard import RequestGuard, Rule, Work
 from lifthead.hosting import AttemptInFlight, BaseHost, now, wall_clock_offset
@@ -72,9 +72,11 @@
         self.max_connections = config.max_engine_connections
         self.close_idle_client: Callable[[], object] = bool  # closes the connection of an idle client
         self.list_is_current: Callable[[], bool] = lambda: True  # whether the list is known to be up to date
-        self._idle_connections: dict[Connection, Link] = {}  # to engines, the longest idle one first
+        self._idle_connections: dict[
+            Connection, ConnectionPool
+        ] = {}  # to engines, the longest idle one first
         self.events = EventLog(log)
-        self._lasting = Lasting(config.engine_idle_timeout / 1e6 * engines.IDLE_FRACTION)
+        self._lasting = IdleLimit(config.engine_idle_timeout / 1e6 * engines.IDLE_FRACTION)
         self.router = control.Router(self, config.deployment)
 
     # Input: updates of the list of engines, and requests of clients.
@@ -96,9 +98,9 @@
             self._mark_missing_gone({entry.engine for entry in entries}, received_at)
         self.router.on_engine_list(entries, update.is_snapshot)
 
-    def _link(self, address: str) -> Link:
+    def _link(self, address: str) -> ConnectionPool:
         limits = (engines.MAX_HEAD_BYTES, engines.MAX_CHUNK_BYTES)
-        return Link(
+        return ConnectionPool(
             address, self._config.connect_timeout / 1e6, self._lasting, limits, self._idle_connections
         )
 
@@ -194,7 +196,7 @@
                             pending, attempt, endpoint, connection, timeout, abandon_at
                         )
                         break
-                    except UnwrittenError:  # reset before all of it was written: the engine ran none of it
+                    except NotSentError:  # reset before all of it was written: the engine ran none of it
                         observation = Observation.NO_CONNECTION
                         if connection:
                             connection.abort()
@@ -217,7 +219,7 @@
             log.exception("attempt at engine %s failed", attempt.engine)
         self._connections_in_use -= 1
         if connection and observation is Observation.CUT:
-            endpoint.link.broke(connection)
+            endpoint.link.record_broken(connection)
         elif connection and connection.uses and not connection.answered:
             endpoint.link.close()  # the other idle connections may be silent as well
         if observation not in (Observation.READ, Observation.WRITTEN):
@@ -232,17 +234,17 @@
         """Returns a connection for an attempt. An idle connection may have gone silent without an error, so
         it is checked with a release for this request, which holds nothing yet. Where the attempt is to fetch
         a held state the check would release it, so there is none; the lease bounds the wait instead."""
-        connection = await endpoint.link.take(fresh)
+        connection = await endpoint.link.acquire(fresh)
         if not connection.uses or attempt.work is Work.FETCH:
             return connection
         release_request = engines.encode_release(pending.guard.request)
-        if await connection.answers(release_request, CONNECTION_CHECK_TIMEOUT):
+        if await connection.is_alive(release_request, CONNECTION_CHECK_TIMEOUT):
             return connection
         self._report_event(pending, Event.CONNECTION_CLOSED, attempt, f"reason=silent {connection}")
-        endpoint.link.broke(connection)
+        endpoint.link.record_broken(connection)
         connection.abort()
         endpoint.link.close()  # the other idle connections may be silent as well
-        return await endpoint.link.take(fresh=True)
+        return await endpoint.link.acquire(fresh=True)
 
     async def _send_and_receive(
         self,
@@ -262,7 +264,7 @@
         pending.guard.on_sent(attempt)
         self.router.on_attempt_sent(pending.id, attempt.number, connection.uses > 0)
         self._note_event(pending, Event.SENT, attempt)
-        head = await connection.head()
+        head = await connection.read_head()
         endpoint.last_heard_at, endpoint.last_answered_sent_at = (
             now(),
             max(endpoint.last_answered_sent_at, attempt.sent_at),
@@ -274,7 +276,7 @@
         if observation is Observation.STATE_GONE:
             pending.guard.on_state_gone()
         if observation:
-            body = await connection.rest(engines.MAX_ANSWER_BYTES)
+            body = await connection.read_whole_body(engines.MAX_ANSWER_BYTES)
             if observation is not Observation.READ:
                 return observation, 0, report
             pending.guard.on_leased(attempt, now())
@@ -293,7 +295,7 @@
         one has arrived."""
         events, timer_set_at = engines.EventStream(), 0.0
         buffered = b""
-        while data := await connection.more():
+        while data := await connection.read_body():
             complete_events = buffered + events.feed(data)
             if not events.begun:
                 buffered = complete_events
@@ -368,7 +370,7 @@
             and self._connections_in_use + len(self._idle_connections) + len(self._half_closed)
             > self.max_connections
         ):
-            next(iter(self._idle_connections.values())).drop_oldest()
+            next(iter(self._idle_connections.values())).close_oldest()
         while self._half_closed and self._connections_in_use + len(self._half_closed) > self.max_connections:
             self._drop_half_closed()
         if self._connections_in_use > self.max_connections:
@@ -463,7 +465,7 @@
         started_at = now()
         try:
             self._enforce_connection_limit()
-            answer = await endpoint.link.ask(data, timeout, fresh)
+            answer = await endpoint.link.exchange(data, timeout, fresh)
             if answer:
                 endpoint.last_heard_at, endpoint.last_answered_sent_at = (
                     now(),
@@ -484,7 +486,7 @@
             await self.check_held_states_on_time()
             forget_before, in_use = now() - FORGET_GONE_AFTER, self._engines_in_use()
             for name, endpoint in list(self.endpoints.items()):
-                endpoint.link.sweep()
+                endpoint.link.close_expired()
                 if (
                     endpoint.readiness == "gone"
                     and endpoint.readiness_since < forget_before
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -32,7 +32,7 @@
 )
 from program import READY_REQUEST, DiscoveryServer, NodeProcess, free_address, killed_at_end, start_process
 
-from lifthead.engines.link import Link
+from lifthead.engines.link import ConnectionPool
 from lifthead.node.discovery import Watch
 from lifthead.node.serve import ACCEPT_REQUESTS_FOR, open_listening_socket
 
@@ -381,7 +381,7 @@
         armed.append(True)
         return first[0], (await exchange(node.address, chat(100, request_class=request_class, trace="t1")))[0]
 
-    take, sockets, armed = Link.take, [], []
+    take, sockets, armed = ConnectionPool.acquire, [], []
 
     async def ended(self, fresh):
         connection = await take(self, fresh)
@@ -396,7 +396,7 @@
                     each.shutdown(socket.SHUT_RDWR)
         return connection
 
-    monkeypatch.setattr(Link, "take", ended)
+    monkeypatch.setattr(ConnectionPool, "acquire", ended)
     one, two = Ends(), Ends()
     assert run_with_node(scenario, wr1=one, wr2=two) == (200, 200)
     request_ids = [fields["x-trace-id"] for _, fields in one.requests + two.requests]
@@ -485,7 +485,7 @@
             await node.until(lambda: one.lines("DELETE") or two.lines("DELETE"))
             return time.monotonic() - began
 
-    take = Link.take
+    take = ConnectionPool.acquire
 
     async def never_up(self, fresh):
         if attempts and fresh is not None and asyncio.current_task() in attempts:
@@ -499,7 +499,7 @@
         return await take(self, fresh)
 
     attempts = []
-    monkeypatch.setattr(Link, "take", never_up)
+    monkeypatch.setattr(ConnectionPool, "acquire", never_up)
     one, two = Engine([reset, CLOSE]), Engine([reset, CLOSE])
     assert run_with_node(scenario, rd1=one, rd2=two, rd3=Engine([reset, CLOSE]), wr=Engine()) < 0.3 + 0.25
 
@@ -510,14 +510,14 @@
         await asyncio.sleep(0.3)
         return status
 
-    take = Link.take
+    take = ConnectionPool.acquire
 
     async def late_take(self, fresh):
         connection = await take(self, fresh)
         time.sleep(LOOP_BUSY_FOR)
         return connection
 
-    monkeypatch.setattr(Link, "take", late_take)
+    monkeypatch.setattr(ConnectionPool, "acquire", late_take)
     wr = Engine()
     assert run_with_node(scenario, wr=wr) in (503, 504)
     assert len(wr.requests) == 0
@@ -703,7 +703,7 @@
     async def scenario(node):
         return (await exchange(node.address, chat(100)))[0]
 
-    take, taken = Link.take, []
+    take, taken = ConnectionPool.acquire, []
 
     async def slow_again(self, fresh):
         taken.append(fresh)
@@ -711,7 +711,7 @@
             await asyncio.sleep(slow)
         return await take(self, fresh)
 
-    monkeypatch.setattr(Link, "take", slow_again)
+    monkeypatch.setattr(ConnectionPool, "acquire", slow_again)
     one, two = (Engine([0.1, CLOSE], [STREAM]) for _ in range(2))
     one.scripts, two.scripts = [[0.1, CLOSE]], [[0.1, CLOSE]]
     settings = idempotency_key_settings(within, 500_000)
@@ -750,14 +750,14 @@
             gate.set()
             return (await client.answer())[0], draining
 
-    take, waiting, gate = Link.take, [], asyncio.Event()
+    take, waiting, gate = ConnectionPool.acquire, [], asyncio.Event()
 
     async def slow(self, fresh):
         waiting.append(self)
         await gate.wait()
         return await take(self, fresh)
 
-    monkeypatch.setattr(Link, "take", slow)
+    monkeypatch.setattr(ConnectionPool, "acquire", slow)
     wrs = {"wr1": Engine(), "wr2": Engine()}
     status, draining = run_with_node(scenario, **wrs)
     assert status == 200 and not wrs[draining].requests
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -8,7 +8,7 @@
 import pytest
 from onenode import HANG, PREFILLED, REFUSED_NOT_RUN, STREAM, Client, Engine, chat, run_with_node
 
-from lifthead.engines.link import Link
+from lifthead.engines.link import ConnectionPool
 
 
 def close(client):
@@ -37,13 +37,13 @@
             await node.until(lambda: not node.host.pending_requests)
             await asyncio.sleep(2 * DELAY)
 
-    take = Link.take
+    take = ConnectionPool.acquire
 
     async def slow(self, fresh):
         await asyncio.sleep(DELAY)
         return await take(self, fresh)
 
-    monkeypatch.setattr(Link, "take", slow)
+    monkeypatch.setattr(ConnectionPool, "acquire", slow)
     wr = Engine()
     run_with_node(scenario, wr=wr)
     assert not wr.requests
@@ -127,7 +127,7 @@
         await node.until(lambda: not leaving and not node.host.pending_requests)
         await asyncio.sleep(DELAY)
 
-    take, leaving = Link.take, []
+    take, leaving = ConnectionPool.acquire, []
 
     async def leaves(self, fresh):
         connection = await take(self, fresh)
@@ -136,7 +136,7 @@
         time.sleep(0.15)  # the event loop is busy
         return connection
 
-    monkeypatch.setattr(Link, "take", leaves)
+    monkeypatch.setattr(ConnectionPool, "acquire", leaves)
     rd, wr = Engine([PREFILLED]), Engine()
     run_with_node(scenario, rd=rd, wr=wr)
     assert not rd.lines("POST") and not wr.lines("POST")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -32,7 +32,7 @@
 )
 
 from lifthead.engines.codec import Observation
-from lifthead.engines.link import RESTS_FOR, Lasting, Link
+from lifthead.engines.link import MIN_IDLE, ConnectionPool, IdleLimit
 from lifthead.hosting import now, wall_clock_offset
 from lifthead.http1 import AnswerParser, HttpError, Message, RequestParser
 from lifthead.instance_settings import flatten, parse_deployment
@@ -374,9 +374,9 @@
     async def scenario(script):
         engine = Engine(script)
         server = await asyncio.start_server(engine.connection, "127.0.0.1", 0)
-        link = Link("{}:{}".format(*server.sockets[0].getsockname()), 1.0)
+        link = ConnectionPool("{}:{}".format(*server.sockets[0].getsockname()), 1.0)
         for _ in range(2):
-            assert (await link.ask(engines.PROBE_REQUEST, 1.0))[0].status == 202
+            assert (await link.exchange(engines.PROBE_REQUEST, 1.0))[0].status == 202
             await asyncio.sleep(0.05)
         link.close()
         server.close()
@@ -390,24 +390,24 @@
 def test_idle_connections_that_the_engine_closed_are_swept():
     async def scenario():
         server = await asyncio.start_server(Engine([PREFILLED, CLOSE]).connection, "127.0.0.1", 0)
-        link = Link("{}:{}".format(*server.sockets[0].getsockname()), 1.0)
-        await link.ask(engines.PROBE_REQUEST, 1.0)
+        link = ConnectionPool("{}:{}".format(*server.sockets[0].getsockname()), 1.0)
+        await link.exchange(engines.PROBE_REQUEST, 1.0)
         await asyncio.sleep(0.05)
-        link.sweep()
+        link.close_expired()
         server.close()
-        return link.idle
+        return link.idle_count
 
     assert asyncio.run(scenario()) == 0
 
 
 def test_the_lifetime_of_idle_connections_halves_with_a_reset_and_grows_back():
-    lasting = Lasting(8.0)
-    assert lasting.span(1000.0) == 8.0
-    lasting.broke(0.4, 1000.0)
-    assert lasting.span(1000.0) == 0.2
-    lasting.broke(5.0, 1000.0)  # on a connection taken before the first reset
-    assert lasting.span(1000.0) == 0.2
-    assert lasting.span(1010.0) == pytest.approx(0.4) and lasting.span(2000.0) == 8.0
+    lasting = IdleLimit(8.0)
+    assert lasting.current(1000.0) == 8.0
+    lasting.shorten(0.4, 1000.0)
+    assert lasting.current(1000.0) == 0.2
+    lasting.shorten(5.0, 1000.0)  # on a connection taken before the first reset
+    assert lasting.current(1000.0) == 0.2
+    assert lasting.current(1010.0) == pytest.approx(0.4) and lasting.current(2000.0) == 8.0
 
 
 def test_a_reset_of_a_reused_connection_shortens_the_lifetime_and_fails_no_request():
@@ -445,14 +445,14 @@
 
     async def scenario(node):
         link = node.host.endpoints["wr"].link
-        take = link.take
+        take = link.acquire
 
         async def late(fresh):
             connection = await take(fresh)
             await asyncio.sleep(0.05)  # so that the reset arrives before anything is written
             return connection
 
-        link.take = late
+        link.acquire = late
         return (await exchange(node.address, chat(100, request_class="pay")))[0], node.host.router.engines[
             "wr"
         ].consecutive_failures
@@ -486,7 +486,7 @@
         for n in range(3):
             assert (await exchange(node.address, chat(5000, request_class="pay", trace=f"t{n}")))[0] == 200
             await asyncio.sleep(
-                1.2 * RESTS_FOR
+                1.2 * MIN_IDLE
             )  # a connection rests before its reuse: a late second answer may arrive
         return rd.connections, wr.connections
 
@@ -779,16 +779,16 @@
         max_connections = node.host.max_connections
         for n in range(3 * max_connections):
             link = node.host.endpoints[f"wr{n % 4}"].link
-            connection = await link.take(fresh=True)
+            connection = await link.acquire(fresh=True)
             await connection.send(engines.PROBE_REQUEST)
-            await connection.rest()
-            link.give(connection)
+            await connection.read_whole_body()
+            link.put_back(connection)
             if n % 10 == 0:
                 node.host._enforce_connection_limit()
         await asyncio.gather(
             *(node.host._query_engine(f"wr{n % 4}", engines.PROBE_REQUEST, 2.0) for n in range(20))
         )
-        return max_connections, sum(endpoint.link.idle for endpoint in node.host.endpoints.values())
+        return max_connections, sum(endpoint.link.idle_count for endpoint in node.host.endpoints.values())
 
     max_connections, idle = run_with_node(
         scenario, **{f"wr{n}": Engine([PREFILLED]) for n in range(4)}, sockets=100
@@ -799,10 +799,10 @@
 def test_idle_connections_are_closed_without_a_scan_of_all_engines():
     async def scenario(node):
         for n in (2, 0, 3, 1):
-            connection = await (link := node.host.endpoints[f"wr{n}"].link).take(fresh=True)
+            connection = await (link := node.host.endpoints[f"wr{n}"].link).acquire(fresh=True)
             await connection.send(engines.PROBE_REQUEST)
-            await connection.rest()
-            link.give(connection)
+            await connection.read_whole_body()
+            link.put_back(connection)
         node.host.max_connections, node.host.endpoints = 2, None  # the engines are not scanned
         node.host._enforce_connection_limit()
         node.host.endpoints = {}
