--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -9,7 +9,7 @@
 import sys
 from pathlib import Path
 
-from lifthead.cli import _fleet
+from lifthead.cli import _read_settings
 from lifthead.daemon import serve as daemon
 from lifthead.interface import Effect, Ending
 
@@ -139,8 +139,8 @@
 def main(kind, script, options):
     given = dict(zip(options[::2], options[1::2], strict=True))
     asyncio.run(daemon.serve(
-        _fleet(Path(script)), given["--router"], given.get("--list", ""), Path(given["--run"]),
-        int(given.get("--seed", 1)), daemon.logger(given.get("--log")), KINDS[kind],
+        _read_settings(Path(script)), given["--router"], given.get("--list", ""), Path(given["--run"]),
+        int(given.get("--seed", 1)), daemon.configure_logging(given.get("--log")), KINDS[kind],
     ))  # fmt: skip
 
 
--- a/lifthead/chat/server.py
+++ b/lifthead/chat/server.py
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 
-class Bounds(Protocol):
+class ClientLimits(Protocol):
     """What clients may send and hold: bytes, microseconds, and a count of connections."""
 
     header_bytes: int
@@ -55,8 +55,11 @@
 
 
 class Reply:
-    """One answer on a connection. `left` is called if the client goes away before it is over. `last` tells,
-    when the answer's head is worded, whether the connection is to end behind it."""
+    """One answer on a connection.
+
+    `on_client_gone` is called if the client disconnects before the answer is over. `last` is asked when the
+    head of the answer is built; true means that the connection closes after this answer.
+    """
 
     def __init__(
         self,
@@ -70,16 +73,16 @@
         self._last = last
         self.keep_alive = keep_alive
         self.begun = self.over = False
-        self.left: Callable[[], None] | None = None
+        self.on_client_gone: Callable[[], None] | None = None
         self.finished = asyncio.Event()
 
     @property
-    def gone(self) -> bool:
+    def client_gone(self) -> bool:
         """Whether the client has left, though its end may still wait behind the loop's other work. The end of
         its sending counts: a close can't be told from it."""
         return self.over or self._writer.transport.is_closing() or peek.seen(self._writer, peek.ENDED)
 
-    def whole(self, status: int, body: bytes, headers: Headers = JSON) -> None:
+    def send_whole(self, status: int, body: bytes, headers: Headers = JSON) -> None:
         """A whole answer at once."""
         if self.begun:
             return
@@ -105,18 +108,18 @@
             + (http1.chunk(data) if data else b"")
         )
 
-    def cut(self) -> None:
+    def truncate(self) -> None:
         """The end of a begun stream that is not whole: the connection closes without a last chunk."""
         self.drop()
         self._writer.close()
 
     def send(self, data: bytes) -> bool:
-        """Events of a begun stream; False if the client is the slower one and `room` must be awaited."""
+        """Sends events of a stream. False if the write buffer is full: the caller awaits `wait_writable`."""
         if not self.over:
             self._put(http1.chunk(data))
         return self._writer.transport.get_write_buffer_size() <= READ
 
-    async def room(self) -> None:
+    async def wait_writable(self) -> None:
         """Waits until the client has taken most of what was sent."""
         await _taken(self._writer, self._patience)
 
@@ -145,24 +148,24 @@
 Waiting = dict[asyncio.StreamWriter, tuple[float, asyncio.Timeout]]
 
 
-class Clients:
-    """Accepts connections and hands each whole req to `serve`, one at a time for a connection.
+class ClientConnections:
+    """Accepts connections and passes each complete request to `serve`, one at a time per connection.
 
-    `error` words an answer to what can't be read. `first_within`: seconds from the accepting of a connection
-    to its first whole req, for services that owe silent clients a close.
+    `error` builds the body of an answer to a malformed request. `first_request_within` is the time in seconds
+    from accepting a connection to its first complete request, for services that must close silent connections.
     """
 
     def __init__(
         self,
-        limits: Bounds,
+        limits: ClientLimits,
         serve: Callable[[Message, Reply], Awaitable[None]],
         error: Callable[[int, str, str], bytes],
-        first_within: float | None = None,
+        first_request_within: float | None = None,
     ) -> None:
         self.limits = limits
         self._serve = serve
         self._error = error
-        self._first_within = first_within
+        self._first_request_within = first_request_within
         self._open: set[asyncio.StreamWriter] = set()
         # Those without an open req, longest first: since when, and the time-out of their reading.
         self._idle: Waiting = {}
@@ -180,7 +183,7 @@
         all are in use, one that is idle gives way; else new ones wait where the system keeps them. Returns
         after a stop, once none waits there: closing would reset those, whose requests this machine has."""
         while not self._shut:
-            if self.connections >= self.limits.connections and not self.make_room():
+            if self.connections >= self.limits.connections and not self.evict_idle():
                 await asyncio.sleep(ACCEPT_AGAIN)
                 continue
             try:
@@ -223,11 +226,11 @@
         finally:
             self._entering -= 1
         try:
-            await self.connection(reader, asyncio.StreamWriter(transport, protocol, reader, loop))
+            await self.handle_connection(reader, asyncio.StreamWriter(transport, protocol, reader, loop))
         except Exception:  # guards all other clients against a fault of ours in this one's connection
             log.exception("a client's connection")
 
-    def make_room(self) -> bool:
+    def evict_idle(self) -> bool:
         """Has the connection closed that has waited longest without an open req: silent ones first, which
         sent nothing yet. Those that were accepted just now are spared: their bytes are on their way. So are
         those with bytes that nobody has read yet, or with an answer that is still on its way out."""
@@ -262,12 +265,12 @@
             if not reading.expired():
                 reading.reschedule(asyncio.get_running_loop().time())
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Returns once no connection is open."""
         while self.connections:
             await asyncio.sleep(ACCEPT_AGAIN)
 
-    async def connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if len(self._open) >= self.limits.connections:
             writer.close()  # guards against a flood of connections: what is open goes on
             return
@@ -300,7 +303,7 @@
                 idle = self._idle
             except HttpError as problem:
                 said = self._error(problem.status, "bad_http", problem.said)
-                Reply(writer, False).whole(problem.status, said)
+                Reply(writer, False).send_whole(problem.status, said)
                 return await self._linger(reader, writer)
             if message is None:
                 return
@@ -312,7 +315,9 @@
                 lambda: self.stopping and not parser.ready,
             )
             if self._shut:
-                reply.whole(503, self._error(503, "stopping", "it came too late: trying again does no harm"))
+                reply.send_whole(
+                    503, self._error(503, "stopping", "it came too late: trying again does no harm")
+                )
             else:
                 async with asyncio.TaskGroup() as tasks:
                     watch = tasks.create_task(self._watch(reader, parser, reply))
@@ -322,7 +327,7 @@
                 if parser.ready or parser.partial or parser.broken or peek.seen(writer, peek.UNREAD):
                     await self._linger(reader, writer)
                 return
-            await reply.room()
+            await reply.wait_writable()
 
     async def _next(
         self,
@@ -335,7 +340,7 @@
         each have their time."""
         limits, since, in_head = self.limits, None, True
         loop = asyncio.get_running_loop()
-        first = idle is self._fresh and self._first_within
+        first = idle is self._fresh and self._first_request_within
         latest = loop.time() + first if first else math.inf
         while not parser.ready:
             if parser.broken:
@@ -392,8 +397,8 @@
         reply.keep_alive = False
         if not reply.over:
             reply.drop()
-            if reply.left:
-                reply.left()
+            if reply.on_client_gone:
+                reply.on_client_gone()
 
 
 async def _come(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bytes:
--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -36,7 +36,7 @@
     app()
 
 
-def _fleet(path: Path) -> Fleet:
+def _read_settings(path: Path) -> Fleet:
     try:
         return script.read(path)
     except script.ScriptError as problem:
@@ -47,7 +47,7 @@
 @app.command()
 def check(file: Path, as_json: AsJson = False) -> None:
     """Print what a settings script says, and the figures that follow from it."""
-    fleet = _fleet(file)
+    fleet = _read_settings(file)
     derived = {
         name: msgspec.to_builtins(derive.deployment(fleet, name, 0), enc_hook=int) for name in fleet.routers
     }
@@ -97,12 +97,12 @@
     from lifthead.daemon import serve as daemon
     from lifthead.ledger.keeper import LockedError
 
-    fleet = _fleet(file)
+    fleet = _read_settings(file)
     name = router or (next(iter(fleet.routers)) if len(fleet.routers) == 1 else "")
     if name not in fleet.routers:
         typer.echo(f"--router: expected one of {list(fleet.routers)}", err=True)
         raise typer.Exit(2)
-    out, drawn = daemon.logger(log or None), seed or secrets.randbits(63)
+    out, drawn = daemon.configure_logging(log or None), seed or secrets.randbits(63)
     watched = Path(engines_file) if engines_file else None
     problems: list[str] = []
     try:
@@ -130,7 +130,7 @@
     """Run one stand-in engine of a settings script until SIGTERM."""
     from lifthead.standins import engine as standin
 
-    fleet = _fleet(file)
+    fleet = _read_settings(file)
     if name not in fleet.engines:
         typer.echo(f"expected one of {list(fleet.engines)}", err=True)
         raise typer.Exit(2)
@@ -373,7 +373,7 @@
     """What taking FILE in place of NOW would do; exit 1 if it would be refused or held back."""
     from lifthead.members.listing import change, listing
 
-    fleet = _fleet(settings)
+    fleet = _read_settings(settings)
     try:
         then, before = (listing(script.engines(path.read_text(), str(path))) for path in (file, now))
     except (script.ScriptError, OSError, UnicodeDecodeError) as problem:
@@ -413,7 +413,7 @@
     from lifthead.standins.stage import Stage
 
     async def hold() -> None:
-        fleet = _fleet(file)
+        fleet = _read_settings(file)
         run.mkdir(parents=True, exist_ok=True)
         stage, over = Stage(fleet, file.resolve(), run, seed), asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -449,7 +449,7 @@
     """Play a scripted day on real processes and check the rules; exit 1 if one is broken."""
     from lifthead.standins import day as days
 
-    fleet = _fleet(file)
+    fleet = _read_settings(file)
     try:
         summary = asyncio.run(days.play(fleet, file, out, seed))
     except ValueError as problem:
--- a/lifthead/daemon/biller.py
+++ b/lifthead/daemon/billing.py
@@ -6,7 +6,7 @@
 from lifthead.ledger.quota import Quota
 
 
-class Biller:
+class Billing:
     def __init__(self, keeper: Keeper, quota: Quota) -> None:
         self._keeper, self._quota = keeper, quota
         self._tenants: list[str] = []
--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -16,7 +16,7 @@
 from lifthead.chat import codec as chat
 from lifthead.chat.codec import Asked, Gathered
 from lifthead.chat.server import JSON, Reply
-from lifthead.daemon.gauges import Gauges
+from lifthead.daemon.metrics import Metrics
 from lifthead.daemon.requests import ChatAttempt, ChatEndpoint, ChatRequest, UsageRecorder
 from lifthead.daemon.resuming import ResumingHost
 from lifthead.deployment.fleet import Limits
@@ -48,7 +48,7 @@
         deployment: Deployment,
         limits: Limits,
         tasks: asyncio.TaskGroup,
-        gauges: Gauges,
+        metrics: Metrics,
         log: Any,
         resumes: bool,
         bill: UsageRecorder | None = None,
@@ -57,30 +57,30 @@
         super().__init__(deployment, tasks)
         self.name = name
         self.limits = limits
-        self.gauges = gauges
-        self.listed_at = 0  # when a list of engines last came; 0: never
+        self.metrics = metrics
+        self.list_received_at = 0  # when a list of engines last came; 0: never
         self._log = log
         self._resumes = resumes
         self._bill = bill
         self._effects = {group.name: group.effect for group in deployment.groups.values()}
         # Engines must not take the requests of this start for those of the one before.
         self._life = f"{time.time_ns() // 1_000_000:x}"
-        self._streams: dict[int, ChatRequest] = {}  # whose stream has begun and may break, by serial
-        self.notice = Notice(int(limits.stalled_for))
-        self.rescue = Rescue()
+        self._running_streams: dict[int, ChatRequest] = {}  # whose stream has begun and may break, by serial
+        self.stall_detector = Notice(int(limits.stalled_for))
+        self.resumptions = Rescue()
         self.lately = Lately()
         self.router = decide(self, deployment)
 
     # What comes in.
 
-    def on_list(self, news: ListNews) -> None:
+    def on_engine_list(self, news: ListNews) -> None:
         """A push of the list of engines. What is left out of a whole list counts as gone."""
         at, ahead = now(), wall_ahead()
-        self.listed_at = at
+        self.list_received_at = at
         entries = []
         for listed in news.engines:
             endpoint = self._note(listed.name, listed.address, listed.kind, listed.readiness, at)
-            endpoint.drains_by = listed.drains_by - self.starts.wall_ahead if listed.drains_by else 0
+            endpoint.drain_deadline = listed.drains_by - self.starts.wall_ahead if listed.drains_by else 0
             up_since = self.starts.up_since(listed.name, listed.started_at, at, ahead)
             entries.append(
                 EngineEntry(
@@ -123,8 +123,8 @@
         pending.body = asked.body
         self.pending_requests[req_id] = pending
         self.empty.clear()
-        self.gauges.taken(asked.group)
-        reply.left = lambda: self._left(pending)
+        self.metrics.taken(asked.group)
+        reply.on_client_gone = lambda: self._left(pending)
         self._tell(pending, max(asked.budget - waited, 0), asked.prompt, asked.max_out)
         await reply.finished.wait()
         self._forget(pending)
@@ -155,8 +155,8 @@
         if not self._answered(pending, "left"):
             return
         self.router.on_expired(pending.id)
-        self.rescue.settled(pending.serial)
-        self._streams.pop(pending.serial, None)
+        self.resumptions.settled(pending.serial)
+        self._running_streams.pop(pending.serial, None)
         if pending.begun and pending.attempt:
             self.cancel(pending.id, pending.attempt.number)  # a stream that nobody reads
 
@@ -181,7 +181,7 @@
                 "retry-after": str(-(-hold_off // 1_000_000) or 1),
                 "retry-after-ms": str(hold_off // 1000),
             }
-            pending.reply.whole(
+            pending.reply.send_whole(
                 503, chat.error(503, "overloaded", "pushed back: trying again does no harm"), headers
             )
 
@@ -194,7 +194,7 @@
             status, code = (504, "deadline") if late else (502, "aborted")
             said = "aborted: whether it had an effect is not known"
             headers = {**self._headers(pending), "x-should-retry": "false"}
-            pending.reply.whole(status, chat.error(status, code, said), headers)
+            pending.reply.send_whole(status, chat.error(status, code, said), headers)
 
     def probe(self, engine: str) -> None:
         self._spawn(self._probe(engine), f"a probe of {engine}")
@@ -328,21 +328,21 @@
                 held_back.clear()
                 pending.written.add(ready)
                 if events.tokens > tokens:
-                    self.notice.text(pending.serial, now())
+                    self.stall_detector.text(pending.serial, now())
                 if ready and not pending.reply.send(
                     chat.with_id(ready, f"{pending.name}:{pending.legs}:{events.tokens}")
                 ):
                     limit.reschedule(None)  # a slow client is not a stalled engine
-                    self.notice.rests(pending.serial)
-                    await pending.reply.room()
-                    self.notice.goes_on(pending.serial, now())
+                    self.stall_detector.rests(pending.serial)
+                    await pending.reply.wait_writable()
+                    self.stall_detector.goes_on(pending.serial, now())
                     guarded_at = 0.0
                 if self._loop.time() > guarded_at + stalled / 8:
                     guarded_at = self._loop.time()
                     limit.reschedule(guarded_at + stalled * 9 / 8)
         if not events.ended:
             return Observation.CUT, 0
-        self.notice.ended(pending.serial)
+        self.stall_detector.ended(pending.serial)
         limit.reschedule(None)  # the answer is whole
         if not gathered and not pending.ended:
             if not pending.reply.begun:
@@ -355,7 +355,7 @@
             await self._bill.done(pending)
         if self._answered(pending, "done"):
             if gathered:
-                pending.reply.whole(200, gathered.whole(), {**self._headers(pending), **JSON})
+                pending.reply.send_whole(200, gathered.whole(), {**self._headers(pending), **JSON})
             else:
                 pending.reply.end(b"data: [DONE]\n\n")
         with contextlib.suppress(TimeoutError, OSError, HttpError):
@@ -378,9 +378,9 @@
         self._releases.look_at(pending.guard)
         self.router.on_begun(pending.id, attempt.number, at - attempt.sent_at, pending.asked.streamed)
         if pending.legs:
-            self.rescue.settled(pending.serial)
-            self.gauges.gap(at - pending.broken_at)
-            self.gauges.broken(pending.cause, "resumed")
+            self.resumptions.settled(pending.serial)
+            self.metrics.gap(at - pending.broken_at)
+            self.metrics.broken(pending.cause, "resumed")
             self._log.info(
                 "stream resumed",
                 req=pending.name,
@@ -393,11 +393,11 @@
             )
         else:
             pending.first_at = at
-            self.gauges.first(pending.asked.group, at - pending.taken_at)
+            self.metrics.first(pending.asked.group, at - pending.taken_at)
         if pending.asked.streamed and not pending.ended:
             limit.reschedule(None)
-            self._streams[pending.serial] = pending
-            self.notice.begun(pending.serial, attempt.engine, at)
+            self._running_streams[pending.serial] = pending
+            self.stall_detector.begun(pending.serial, attempt.engine, at)
             if not pending.reply.begun:
                 pending.reply.begin(self._headers(pending))
 
@@ -419,9 +419,9 @@
             )
         self._ended(pending, attempt, observation)
         pending.trail.append(f"{attempt.engine}:{observation.name.lower()}")
-        self.gauges.forwarded(ending)
-        self._streams.pop(pending.serial, None)
-        self.notice.ended(pending.serial)
+        self.metrics.forwarded(ending)
+        self._running_streams.pop(pending.serial, None)
+        self.stall_detector.ended(pending.serial)
         waits = False
         if pending.begun and ending is not Ending.DONE:
             if not pending.asked.streamed:
@@ -465,7 +465,7 @@
             asked_at = now()
             if await link.ask(codec.release_req(link.address, attempt), RELEASE_WITHIN, fresh):
                 return asked_at
-        self.gauges.releases_lost.inc()
+        self.metrics.releases_lost.inc()
         return 0
 
     async def _is_answered(self, engine: str, guard: RequestGuard) -> bool:
@@ -486,7 +486,7 @@
         if not super()._answered(pending, ended):
             return False
         pending.ended_at = now()
-        self.gauges.ended(pending.asked.group, ended)
+        self.metrics.ended(pending.asked.group, ended)
         target = self._groups[pending.asked.group].target_of(pending.asked.prompt)
         late = pending.asked.streamed and pending.first_at - pending.taken_at > target
         if ended != "left":
@@ -513,7 +513,7 @@
         )
         return True
 
-    def give_up_all(self) -> None:
+    def abort_all(self) -> None:
         """The stop's own time is over: what is left is aborted, as loudly as can be."""
         for pending in list(self.pending_requests.values()):
             self._log.error("aborted by the stop", req=pending.name)
@@ -521,11 +521,11 @@
                 if pending.reply.begun:
                     pending.reply.end(chat.error_event("stopping", "this router stops"))
                 else:
-                    pending.reply.whole(502, chat.error(502, "stopping", "aborted: this router stops"))
+                    pending.reply.send_whole(502, chat.error(502, "stopping", "aborted: this router stops"))
                 self.router.on_expired(pending.id)
             if pending.attempt:
                 self.cancel(pending.id, pending.attempt.number)
 
     def _violated(self, rule: Rule, request: str, why: str) -> None:
-        self.gauges.violations.labels(rule.value).inc()
+        self.metrics.violations.labels(rule.value).inc()
         self._log.error("invariant violated", rule=rule.value, req=request, why=why)
--- a/lifthead/daemon/gauges.py
+++ b/lifthead/daemon/metrics.py
@@ -7,7 +7,7 @@
 SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32)
 
 
-class Gauges:
+class Metrics:
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
         kind = {"registry": self.registry}
--- a/lifthead/daemon/requests.py
+++ b/lifthead/daemon/requests.py
@@ -49,7 +49,7 @@
 class ChatEndpoint(hosting.Endpoint):
     """An engine as the daemon knows it."""
 
-    drains_by: int = 0  # on this router's clock, 0: no limit
+    drain_deadline: int = 0  # on this router's clock, 0: no limit
 
 
 class UsageRecorder(Protocol):
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -19,11 +19,11 @@
 
 from lifthead.chat import codec
 from lifthead.chat.codec import BadReqError, Door
-from lifthead.chat.server import Clients, Reply
+from lifthead.chat.server import ClientConnections, Reply
 from lifthead.control import Router
-from lifthead.daemon.biller import Biller
-from lifthead.daemon.gauges import Gauges
+from lifthead.daemon.billing import Billing
 from lifthead.daemon.host import Host, now
+from lifthead.daemon.metrics import Metrics
 from lifthead.daemon.views import engine_views, work_at_engines
 from lifthead.deployment.derive import deployment
 from lifthead.deployment.fleet import EngineSpec, Fleet
@@ -60,30 +60,30 @@
         decide: Callable[..., Router] = Router,
     ) -> None:
         self.fleet, self.spec, self.log = fleet, fleet.routers[name], log
-        self.gauges = Gauges()
+        self.metrics = Metrics()
         self.door = Door(fleet)
         start = deployment(fleet, name, seed)
         resumes = fleet.rules.resume
-        self.keeper, self.quota, bill = None, None, None
+        self.ledger, self.quota, bill = None, None, None
         if fleet.ledger:
             directory = Path(fleet.ledger.directory or run_dir / f"ledger-{name}")
-            lost = self.gauges.unbilled.inc
-            self.keeper = Keeper(open_journal(directory), fleet.ledger, log, lost)
+            lost = self.metrics.unbilled.inc
+            self.ledger = Keeper(open_journal(directory), fleet.ledger, log, lost)
             budgets = {each.tenant: Budget(each.tokens, each.soft) for each in fleet.budgets.values()}
             self.quota = Quota(budgets, len(fleet.routers))
-            bill = Biller(self.keeper, self.quota)
+            bill = Billing(self.ledger, self.quota)
             bill.take_up(list(budgets))
-        self.biller = bill
+        self.billing = bill
         self.view = View()
         self.weight = Weight(random.Random(seed))
-        self.roster: Roster | None = None
+        self.registry: Roster | None = None
         self.following: asyncio.Task | None = None  # the watched file of engines
         self.drains = Drains(start.roles)
         self._drains_file = run_dir / f"operator-{name}.json"
         if self._drains_file.exists():  # what an operator drained stays so over a restart
             self.drains.word = msgspec.json.decode(self._drains_file.read_bytes(), type=Word)
-        self.host = Host(name, start, fleet.limits, tasks, self.gauges, log, resumes, bill, decide)
-        self.clients = Clients(fleet.limits, self.answer, codec.error)
+        self.host = Host(name, start, fleet.limits, tasks, self.metrics, log, resumes, bill, decide)
+        self.clients = ClientConnections(fleet.limits, self.answer, codec.error)
         self.stopping = asyncio.Event()
         self.refusing = self.drained = self.handed = False
         self._list_file, self._list_changed = run_dir / f"list-{name}.json", False
@@ -94,8 +94,8 @@
 
     def on_file(self, text: str) -> None:
         """The watched file of engines has changed."""
-        assert self.roster
-        outcome = self.roster.offer(text, "engines")
+        assert self.registry
+        outcome = self.registry.offer(text, "engines")
         say = self.log.info if outcome.taken else self.log.error
         say(
             "file of engines",
@@ -106,17 +106,17 @@
             **outcome.change,
         )
         if outcome.taken:
-            self.tell_file()
+            self.publish_file()
 
-    def tell_file(self) -> None:
-        assert self.roster
-        self.on_source("file", of_specs(self.roster.now.engines), True)
+    def publish_file(self) -> None:
+        assert self.registry
+        self.on_source("file", of_specs(self.registry.now.engines), True)
 
     def on_push(self, news: ListNews) -> None:
         self.on_source("push", news.engines, news.whole)
         self._list_changed = True
 
-    async def keep_list(self) -> None:
+    async def persist_list(self) -> None:
         """Keeps the last pushed list on the disk; goes by it at the start if no push comes."""
         kept, started = None, now()
         with contextlib.suppress(OSError, msgspec.DecodeError):
@@ -124,12 +124,12 @@
         while True:
             await asyncio.sleep(0.25)
             wall = time.time_ns() // 1000
-            if kept and last.due(kept, now() - started, self.host.listed_at > 0, wall):
+            if kept and last.due(kept, now() - started, self.host.list_received_at > 0, wall):
                 self.log.warning(
                     "no list of engines is pushed: by the last one", age_s=(wall - kept.at) / 1e6
                 )
                 self.view.tell("push", kept.engines, True, now() - (wall - kept.at))
-                self.tell_changes()
+                self.publish_changes()
             if self._list_changed:
                 engines = self.view.engines_of("push")
                 # A full disk must not end a router that serves; the list is kept once there is room.
@@ -142,9 +142,9 @@
         kept_out = self.view.tell(source, engines, whole, now())
         if kept_out:
             self.log.error("a list of engines is kept out", source=source, why=kept_out)
-        self.tell_changes()
+        self.publish_changes()
 
-    def tell_changes(self) -> None:
+    def publish_changes(self) -> None:
         changes = self.view.changes(now())
         said = self.drains.word
         if any(
@@ -158,11 +158,11 @@
             drained = {engine.name: engine for engine in self.view.changes(now())}
             changes = [drained.pop(engine.name, engine) for engine in changes] + list(drained.values())
         if changes or self.view.members:
-            self.host.on_list(ListNews(False, changes))
+            self.host.on_engine_list(ListNews(False, changes))
 
     def condition(self) -> health.Condition:
         return health.Condition(
-            listed=self.host.listed_at > 0,
+            listed=self.host.list_received_at > 0,
             writers=self.host.ready_writers,
             stopping=self.stopping.is_set(),
             drained=self.drained,
@@ -184,17 +184,17 @@
                     await self.host.take(asked, reply, self.host.waited(message))
                 else:  # never taken: no answer is owed later, and nothing was sent for it
                     fields = {"content-type": "application/json", "retry-after": "1", "retry-after-ms": "250"}
-                    reply.whole(503, codec.error(503, "not_ready", why), fields)
+                    reply.send_whole(503, codec.error(503, "not_ready", why), fields)
             elif path == "/v1/models" and message.method == "GET":
                 self.door.tenant(message.headers)
-                reply.whole(200, self.door.model_list())
+                reply.send_whole(200, self.door.model_list())
             elif path.startswith("/v1/models/") and message.method == "GET":
                 self.door.tenant(message.headers)
-                reply.whole(200, self.door.model(path.removeprefix("/v1/models/")))
+                reply.send_whole(200, self.door.model(path.removeprefix("/v1/models/")))
             else:
                 raise BadReqError(404, "not_found", "expected /v1/chat/completions or /v1/models")
         except BadReqError as problem:
-            reply.whole(
+            reply.send_whole(
                 problem.status, codec.error(problem.status, problem.code, problem.said, problem.param)
             )
 
@@ -202,9 +202,9 @@
         """Why no req can be taken now, None if one can."""
         if self.refusing or self.drained:
             return "this router drains"
-        if not self.host.listed_at:
+        if not self.host.list_received_at:
             return "this router has no list of engines yet"
-        if self.keeper and self.keeper.refuses:
+        if self.ledger and self.ledger.refuses:
             return "this router can't write its ledger"
         if len(self.host.pending_requests) >= self.fleet.limits.in_hand:
             return "this router holds all that it may"
@@ -228,7 +228,7 @@
                 for pending in self.host.pending_requests.values()
             ],
             "members": lambda _: {
-                "file": self.roster.state() if self.roster else None,
+                "file": self.registry.state() if self.registry else None,
                 "sources": self.view.sources(now()),
                 "engines": self.view.rows(now()),
             },
@@ -241,7 +241,7 @@
 
     def state(self) -> dict[str, Any]:
         condition = self.condition()
-        age = (now() - self.host.listed_at) / 1e6 if self.host.listed_at else None
+        age = (now() - self.host.list_received_at) / 1e6 if self.host.list_received_at else None
         ended, pushed_back, missed = self.host.lately.counts(now())
         return {
             "name": self.spec.name,
@@ -265,18 +265,18 @@
         return self.state()
 
     def _apply(self, question: dict[str, Any]) -> dict[str, Any]:
-        if self.roster is None:
+        if self.registry is None:
             return NO_FILE
         if "text" in question:
-            outcome = self.roster.offer(str(question["text"]), "engines", str(question.get("confirm", "")))
+            outcome = self.registry.offer(str(question["text"]), "engines", str(question.get("confirm", "")))
         else:
-            outcome = self.roster.confirm(str(question.get("confirm", "")))
+            outcome = self.registry.confirm(str(question.get("confirm", "")))
         return self._outcome(outcome)
 
     def _rollback(self, question: dict[str, Any]) -> dict[str, Any]:
-        if self.roster is None:
+        if self.registry is None:
             return NO_FILE
-        return self._outcome(self.roster.rollback(int(question.get("to", 0))))
+        return self._outcome(self.registry.rollback(int(question.get("to", 0))))
 
     def _drain_engines(self, question: dict[str, Any]) -> dict[str, Any]:
         """Drains engines, takes that back, or with neither tells how far it is."""
@@ -296,7 +296,7 @@
                     self.drains.drain(names, wall + limit if limit else 0, self.view, now())
                 replace_file(self._drains_file, msgspec.json.encode(self.drains.word))
                 self.log.info("drain engines", engines=names, undo=bool(question.get("undo")))
-                self.tell_changes()
+                self.publish_changes()
         except SelectorError as problem:
             return {"taken": False, "why": str(problem), "engines": []}
         except OSError as problem:
@@ -306,7 +306,7 @@
 
     def _outcome(self, outcome: Outcome) -> dict[str, Any]:
         if outcome.taken:
-            self.tell_file()
+            self.publish_file()
         self.log.info("listing", taken=outcome.taken, why=outcome.why, generation=outcome.generation)
         return msgspec.to_builtins(outcome)
 
@@ -319,10 +319,10 @@
         while True:
             await asyncio.sleep(0.5)
             if any(member.went and member.told.readiness != "ready" for member in self.view.members.values()):
-                self.tell_changes()
+                self.publish_changes()
 
     async def measure(self) -> None:
-        """The loop's own lag, and gauges that are read from here."""
+        """The loop's own lag, and metrics that are read from here."""
         loop = asyncio.get_running_loop()
         worst, lately, turn = 0.0, 0.0, 0
         while True:
@@ -330,19 +330,21 @@
             await asyncio.sleep(LAG_EVERY)
             lag = loop.time() - then - LAG_EVERY
             worst, lately, turn = max(worst, lag), max(lag, lately * 0.9), turn + 1
-            self.gauges.in_hand.set(len(self.host.pending_requests))
+            self.metrics.in_hand.set(len(self.host.pending_requests))
             if turn % 5 == 0:
                 full = len(self.host.pending_requests) / self.fleet.limits.in_hand
                 ended, pushed_back, _ = self.host.lately.counts(now())
-                self.gauges.weight.set(
+                self.metrics.weight.set(
                     self.weight.turn(now(), wish(full, int(lately * 1e6), ended, pushed_back))
                 )
             if turn % 20 == 0:
-                self.gauges.lag.set(worst)
-                self.gauges.list_age.set((now() - self.host.listed_at) / 1e6 if self.host.listed_at else -1)
+                self.metrics.lag.set(worst)
+                self.metrics.list_age.set(
+                    (now() - self.host.list_received_at) / 1e6 if self.host.list_received_at else -1
+                )
                 worst = 0.0
-                if self.biller:
-                    for tenant, part in self.biller.shares().items():
+                if self.billing:
+                    for tenant, part in self.billing.shares().items():
                         self.host.router.on_share(tenant, part)
 
 
@@ -379,19 +381,19 @@
         daemon = Daemon(fleet, name, seed, log, tasks, run_dir, decide)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, daemon.stopping.set)
-        service = [tasks.create_task(daemon.measure()), tasks.create_task(daemon.host.look_after_streams())]
-        if daemon.keeper:
-            service += [tasks.create_task(daemon.keeper.write()), tasks.create_task(daemon.keeper.export())]
+        service = [tasks.create_task(daemon.measure()), tasks.create_task(daemon.host.supervise_streams())]
+        if daemon.ledger:
+            service += [tasks.create_task(daemon.ledger.write()), tasks.create_task(daemon.ledger.export())]
         if list_url:
             service.append(
                 tasks.create_task(follow(list_url, name, daemon.on_push, daemon.host.on_list_lost, log))
             )
-            service.append(tasks.create_task(daemon.keep_list()))
+            service.append(tasks.create_task(daemon.persist_list()))
         if engine_file:
             store = Store(Directory(run_dir / f"engines-{name}"))
-            daemon.roster = Roster(fleet, store)
-            if daemon.roster.generation:
-                daemon.tell_file()  # the last good one: a restart does not begin with nothing
+            daemon.registry = Roster(fleet, store)
+            if daemon.registry.generation:
+                daemon.publish_file()  # the last good one: a restart does not begin with nothing
             daemon.following = tasks.create_task(watch.follow(engine_file, daemon.on_file, log))
             service.append(daemon.following)
         elif not list_url:
@@ -404,8 +406,8 @@
         places = zip(
             (
                 functools.partial(health.agent, daemon.condition),
-                functools.partial(health.pages, daemon.condition, daemon.gauges.page),
-                daemon.clients.connection,
+                functools.partial(health.pages, daemon.condition, daemon.metrics.page),
+                daemon.clients.handle_connection,
             ),
             (spec.agent, spec.health, spec.listen),
             old.sockets if old else (None, None, None),
@@ -429,7 +431,7 @@
             daemon.handed = True
             daemon.stopping.set()
 
-        if not daemon.keeper:  # a ledger has one writer: its router is stopped and started
+        if not daemon.ledger:  # a ledger has one writer: its router is stopped and started
             listening = [server.sockets[0] for server in servers]
             service.append(tasks.create_task(offer(handover_path, listening, hand_over)))
         log.info("serving", router=name, pid=os.getpid(), admin=str(socket), **daemon.addresses)
@@ -456,10 +458,10 @@
             async with asyncio.timeout(limits.stop_within / 1e6):
                 await daemon.host.empty.wait()
         except TimeoutError:
-            daemon.host.give_up_all()
+            daemon.host.abort_all()
         await _quiet(daemon)
-        if daemon.keeper:
-            await daemon.keeper.close()
+        if daemon.ledger:
+            await daemon.ledger.close()
         for task in service:
             task.cancel()
         daemon.host.close()
@@ -508,7 +510,7 @@
     return f"{host}:{port}"
 
 
-def logger(path: str | None) -> Any:
+def configure_logging(path: str | None) -> Any:
     """JSON lines to this file, else to standard error."""
     out = open(path, "a", buffering=1) if path else None  # noqa: SIM115 - open as long as the process
     structlog.configure(
--- a/lifthead/hosting.py
+++ b/lifthead/hosting.py
@@ -165,7 +165,9 @@
     def _refused(self, pending: Any, attempt: AttemptInFlight, endpoint: Endpoint) -> Observation | None:
         """What has come between an attempt and its sending while its connection came up: None if nothing has.
         What tells the loop that a client left may wait behind other work, so the system is asked."""
-        refusal = pending.guard.refusal(attempt, now(), endpoint.readiness == "ready", pending.reply.gone)
+        refusal = pending.guard.refusal(
+            attempt, now(), endpoint.readiness == "ready", pending.reply.client_gone
+        )
         if refusal is None:
             pending.guard.writing(attempt, now(), endpoint.readiness == "ready")
             return None
--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -97,7 +97,7 @@
     async def answer(self, message: Message, reply: Reply) -> None:
         """A client's message, from its last byte to the end of its answer."""
         if message.path == clients.READY and message.method == "GET":
-            return reply.whole(200 if self._served and self.current() else 503, b"")
+            return reply.send_whole(200 if self._served and self.current() else 503, b"")
         try:
             demand = clients.demand_of(message, self._next, self._groups, self.waited(message))
             client_id = message.headers[clients.ID]
@@ -105,14 +105,14 @@
                 raise HttpError(409, "a req with this id is open")
         except HttpError as problem:
             reply.keep_alive = False
-            return reply.whole(problem.status, clients.error(problem.status, "bad_req", problem.said))
+            return reply.send_whole(problem.status, clients.error(problem.status, "bad_req", problem.said))
         self._next += 1
         guard = self._guard(client_id, demand.group, demand.budget)
         pending = PendingRequest(id=demand.id, reply=reply, guard=guard, group=demand.group, message=message)
         self.pending_requests[pending.id] = pending
         self._open_ids.add(client_id)
         self.empty.clear()
-        reply.left = lambda: self._left(pending)
+        reply.on_client_gone = lambda: self._left(pending)
         self._note_event(pending, Event.TAKEN, detail=f"class={demand.group} prompt={demand.prompt}")
         self._tell_module(demand, pending)
         await reply.finished.wait()
@@ -140,12 +140,12 @@
     def push_back(self, req: int, hold_off: int) -> None:
         pending = self.pending_requests[req]
         if self._answered(pending, "pushed back"):
-            pending.reply.whole(*clients.push_back(hold_off))
+            pending.reply.send_whole(*clients.push_back(hold_off))
 
     def abort(self, req: int) -> None:
         pending = self.pending_requests[req]
         if self._answered(pending, "aborted"):
-            pending.reply.whole(*clients.abort())
+            pending.reply.send_whole(*clients.abort())
 
     def probe(self, engine: str) -> None:
         self._spawn(self._probe(engine), f"a probe of {engine}")
@@ -291,7 +291,7 @@
                 room = pending.reply.send(passes) if passes else True
             if not room:
                 limit.reschedule(None)  # a slow client is not a silent engine
-                await pending.reply.room()
+                await pending.reply.wait_writable()
                 guarded_at = 0.0
             if self._loop.time() > guarded_at + engines.SILENT_FOR / 8:
                 guarded_at = self._loop.time()
@@ -314,7 +314,7 @@
         ending, mark = engines.ENDINGS[observation]
         self._ended(pending, attempt, observation)
         if pending.begun and self._answered(pending, "broken"):
-            pending.reply.cut()
+            pending.reply.truncate()
         final = pending.ended != ""
         took = now() - attempt.sent_at
         self._note_event(pending, Event.ENDED, attempt, f"outcome={observation.name.lower()} took_us={took}")
--- a/lifthead/node/serve.py
+++ b/lifthead/node/serve.py
@@ -9,7 +9,7 @@
 import sys
 from dataclasses import dataclass
 
-from lifthead.chat.server import Clients
+from lifthead.chat.server import ClientConnections
 from lifthead.node import clients, start
 from lifthead.node.discovery import Follower
 from lifthead.node.host import Host
@@ -62,8 +62,8 @@
         version = told.known.version if told.known else 0
         shared = told.deployment.must_ask
         follower = Follower(told.discovery, version, host.on_news, told.deployment.seed, shared)
-        door = Clients(Bounds(told.clients), host.answer, clients.error, clients.FIRST_WITHIN)
-        host.shed = door.make_room
+        door = ClientConnections(Bounds(told.clients), host.answer, clients.error, clients.FIRST_WITHIN)
+        host.shed = door.evict_idle
         latest = loop.time() + LISTED_WITHIN
         host.current = lambda: follower.heard or loop.time() > latest
         listening = listener(told.listen)
@@ -83,7 +83,7 @@
         await accepting
         listening.close()
         await host.empty.wait()
-        await door.closed()
+        await door.wait_closed()
         for task in lasting:
             task.cancel()
         host.close()
@@ -92,7 +92,9 @@
     log.info("%s stopped, invariant violations: %s", told.name, host.violations)
 
 
-async def read_again(path: str, again: asyncio.Event, follower: Follower, door: Clients, host: Host) -> None:
+async def read_again(
+    path: str, again: asyncio.Event, follower: Follower, door: ClientConnections, host: Host
+) -> None:
     """A new configuration under the same path. One that can't be used leaves all as it is."""
     while True:
         await again.wait()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -32,7 +32,7 @@
 """
 
 
-class Listening:
+class LocalServers:
     """What listens on ports that the system gives."""
 
     servers: list[asyncio.Server]
@@ -47,36 +47,44 @@
                 await asyncio.sleep(0.01)
 
 
-class Loopback(Listening):
-    """`engines` names the stand-ins to run; `odd` gives handlers that take an engine's place."""
+class Loopback(LocalServers):
+    """`engines` names the stand-ins to run; `handlers` gives handlers that take an engine's place."""
 
-    def __init__(self, path: Path, engines=("rd", "wr"), odd=None, text=SCRIPT):
-        self.path, self.names, self.odd, self.fleet = path, engines, odd or {}, script.run(text, "loopback")
+    def __init__(self, path: Path, engines=("rd", "wr"), handlers=None, text=SCRIPT):
+        self.path, self.names, self.handlers, self.fleet = (
+            path,
+            engines,
+            handlers or {},
+            script.run(text, "loopback"),
+        )
         self.engines: dict[str, Engine] = {}
-        self.servers, self.listed = [], {}
+        self.servers, self.engine_addresses = [], {}
 
     async def __aenter__(self):
         self._group = await asyncio.TaskGroup().__aenter__()
         for name in self.names:
             record = Record(self.path / f"engine-{name}.jsonl")
             engine = self.engines[name] = Engine(self.fleet, self.fleet.engines[name], 1, record, False)
-            engine.address = self.listed[name] = await self._listen(engine.connection)
-            self.beats = [*getattr(self, "beats", []), self._group.create_task(engine.steps())]
-        for name, handler in self.odd.items():
-            self.listed[name] = await self._listen(handler)
+            engine.address = self.engine_addresses[name] = await self._listen(engine.connection)
+            self.background_tasks = [
+                *getattr(self, "background_tasks", []),
+                self._group.create_task(engine.steps()),
+            ]
+        for name, handler in self.handlers.items():
+            self.engine_addresses[name] = await self._listen(handler)
         log = structlog.wrap_logger(structlog.PrintLogger(open(self.path / "log", "w")))  # noqa: SIM115
         self.daemon = Daemon(self.fleet, "r", 1, log, self._group, self.path)
-        self.beats = [
-            *getattr(self, "beats", []),
-            self._group.create_task(self.daemon.host.look_after_streams()),
+        self.background_tasks = [
+            *getattr(self, "background_tasks", []),
+            self._group.create_task(self.daemon.host.supervise_streams()),
         ]
-        self.address = await self._listen(self.daemon.clients.connection)
-        self.tell()
+        self.address = await self._listen(self.daemon.clients.handle_connection)
+        self.push_list()
         return self
 
-    def tell(self, **readiness):
+    def push_list(self, **readiness):
         specs = self.fleet.engines
-        self.daemon.host.on_list(
+        self.daemon.host.on_engine_list(
             ListNews(
                 True,
                 [
@@ -88,7 +96,7 @@
                         specs[name].kind,
                         readiness=readiness.get(name, "ready"),
                     )
-                    for name, at in self.listed.items()
+                    for name, at in self.engine_addresses.items()
                 ],
             )
         )
@@ -97,9 +105,9 @@
         self.engines[name].faults[what] = Fault(now() + int(lasts * 1e6), part, times, group)
 
     async def __aexit__(self, *_):
-        for task in getattr(self, "beats", []):
+        for task in getattr(self, "background_tasks", []):
             task.cancel()
-        self.daemon.host.give_up_all()
+        self.daemon.host.abort_all()
         self.daemon.host.close()
         for server in self.servers:
             server.close()
@@ -126,7 +134,7 @@
     return f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode() + data
 
 
-async def raw(address, *parts, until_closed=True, within=5.0):
+async def send_raw(address, *parts, until_closed=True, within=5.0):
     """Sends bytes and returns all that comes back."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -142,8 +150,8 @@
         writer.close()
 
 
-async def ask(address, said, **headers):
+async def post_chat(address, said, **headers):
     """Status and body of one req on a connection of its own."""
-    answer = await raw(address, http(said, **headers))
+    answer = await send_raw(address, http(said, **headers))
     head, _, rest = answer.partition(b"\r\n\r\n")
     return int(head.split()[1]), rest, head.decode("latin-1").lower()
--- a/tests/onenode.py
+++ b/tests/onenode.py
@@ -4,9 +4,9 @@
 import json
 from dataclasses import replace
 
-from loopback import Listening
+from loopback import LocalServers
 
-from lifthead.chat.server import Clients
+from lifthead.chat.server import ClientConnections
 from lifthead.http1 import chunk
 from lifthead.node import clients
 from lifthead.node.discovery import news_of
@@ -124,7 +124,7 @@
         return True
 
 
-class Node(Listening):
+class Node(LocalServers):
     """`engines`: an Engine by uid; those whose uid begins with rd read, the others write."""
 
     def __init__(self, first_within=0.5, connections=50, sockets=1024, settings=SETTINGS, **engines):
@@ -140,8 +140,8 @@
         self.host = Host(replace(start, clients=self.connections), self._group)
         self.tell(*(target(uid, at) for uid, at in self.listed.items()))
         bounds = Bounds(self.connections, header_within=300_000, body_within=300_000)
-        self.door = Clients(bounds, self.host.answer, clients.error, self.first_within)
-        self.address = await self._listen(self.door.connection)
+        self.door = ClientConnections(bounds, self.host.answer, clients.error, self.first_within)
+        self.address = await self._listen(self.door.handle_connection)
         return self
 
     def tell(self, *targets, whole=True):
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -5,7 +5,7 @@
 import signal
 import time
 
-from loopback import SCRIPT, body, http, raw
+from loopback import SCRIPT, body, http, send_raw
 from test_fleet import Processes, lifthead
 
 from lifthead.standins.balancer import Balancer
@@ -31,7 +31,7 @@
                 at = balancer.choose()
                 if at is not None:
                     answers.append(
-                        await raw(at, http(body(f"{number}", stream=True, max_tokens=10)), within=8)
+                        await send_raw(at, http(body(f"{number}", stream=True, max_tokens=10)), within=8)
                     )
 
             async def load(tasks):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -309,7 +309,7 @@
 
 ENDS = {
     "stop": lambda node: node.door.stop(),
-    "shed": lambda node: node.door.make_room(),
+    "shed": lambda node: node.door.evict_idle(),
     "idle": lambda node: node.door._close(node.door._idle),
 }
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from loopback import KEY, Loopback, ask, body, http, raw
+from loopback import KEY, Loopback, body, http, post_chat, send_raw
 
 from lifthead.engines.codec import ListedEngine, ListNews
 from lifthead.standins.cold import Warmth
@@ -46,8 +46,8 @@
 def test_streamed_and_whole_answers_are_the_same(tmp_path, text):
     async def play():
         async with Loopback(tmp_path) as loop:
-            status, whole, head = await ask(loop.address, body(text, max_tokens=9))
-            streamed = await raw(loop.address, http(body(text, max_tokens=9, stream=True)))
+            status, whole, head = await post_chat(loop.address, body(text, max_tokens=9))
+            streamed = await send_raw(loop.address, http(body(text, max_tokens=9, stream=True)))
             words, last, _ = texts(streamed)
             said = json.loads(whole)
             assert status == 200 and last == b"[DONE]" and words
@@ -89,11 +89,11 @@
 def test_bad_reqs_get_one_clear_answer_and_the_router_lives(tmp_path, sent, status):
     async def play():
         async with Loopback(tmp_path) as loop:
-            answer = await raw(loop.address, sent)
+            answer = await send_raw(loop.address, sent)
             assert int(answer.split()[1]) == status
             said = json.loads(answer.partition(b"\r\n\r\n")[2].split(b"HTTP/1.1")[0])
             assert said["error"]["message"] and said["error"]["code"]
-            assert (await ask(loop.address, body()))[0] == 200
+            assert (await post_chat(loop.address, body()))[0] == 200
 
     run(play())
 
@@ -111,7 +111,7 @@
                 + b"0\r\n\r\n"
             )
             models = http(b"", path="/v1/models", method="GET")
-            answer = await raw(
+            answer = await send_raw(
                 loop.address, chunked, http(body(max_tokens=2), connection="keep-alive"), models
             )
             assert answer.count(b"HTTP/1.1 200 OK") == 3 and b'"id":"once"' in answer
@@ -159,7 +159,9 @@
             began = time.monotonic()
             answers = await asyncio.gather(
                 *(
-                    raw(loop.address, http(body(f"{n}", model=model, stream=True), x_req_budget_ms="900"))
+                    send_raw(
+                        loop.address, http(body(f"{n}", model=model, stream=True), x_req_budget_ms="900")
+                    )
                     for n in range(12)
                 )
             )
@@ -178,7 +180,7 @@
     async def play():
         async with Loopback(tmp_path) as loop:
             loop.fault("rd", "slow", times=10.0)
-            status, _, _ = await ask(loop.address, body(LONG), x_req_budget_ms="200")
+            status, _, _ = await post_chat(loop.address, body(LONG), x_req_budget_ms="200")
             assert status == 504
             await loop.until(lambda: loop.engines["rd"].reading == 0)
             await asyncio.sleep(0.1)
@@ -240,9 +242,9 @@
             hits.append(1)
             await handler(reader, writer)
 
-        async with Loopback(tmp_path, engines=(), odd={"wr": counted, "wr2": counted}) as loop:
+        async with Loopback(tmp_path, engines=(), handlers={"wr": counted, "wr2": counted}) as loop:
             sent = http(body(model=model, stream=True), x_req_budget_ms="500")
-            answer = await raw(loop.address, sent)
+            answer = await send_raw(loop.address, sent)
             assert int(answer.split()[1]) in statuses | ({503} if model == "m" else set())
             if statuses == {200}:
                 assert b'"error"' in texts(answer)[1] or texts(answer)[1] == b"[DONE]"
@@ -257,8 +259,8 @@
         stream = chunk(WORD * 2 + 'data: {"choices":[{"delta":{"content":"não"}}]}\r\n\r\n'.encode())
         stream = HEAD + stream + chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
         odd = says(*(stream[at : at + 1] for at in range(len(stream))))
-        async with Loopback(tmp_path, engines=(), odd={"wr": odd}) as loop:
-            answer = await raw(loop.address, http(body(stream=True)))
+        async with Loopback(tmp_path, engines=(), handlers={"wr": odd}) as loop:
+            answer = await send_raw(loop.address, http(body(stream=True)))
             words, last, _ = texts(answer)
             assert words == "a a não" and last == b"[DONE]"
 
@@ -269,8 +271,8 @@
     """The stream begins and breaks in the same read."""
 
     async def play():
-        async with Loopback(tmp_path, engines=(), odd={"wr": says(HEAD + chunk(WORD))}) as loop:
-            answer = await raw(loop.address, http(body(stream=True)))
+        async with Loopback(tmp_path, engines=(), handlers={"wr": says(HEAD + chunk(WORD))}) as loop:
+            answer = await send_raw(loop.address, http(body(stream=True)))
             words, last, _ = texts(answer)
             assert words == "a " and b"stream_broken" in last and not loop.daemon.host.pending_requests
 
@@ -280,12 +282,12 @@
 def test_a_drain_that_is_told_while_a_forward_is_being_sent(tmp_path):
     async def play():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
-            tries = [asyncio.create_task(ask(loop.address, body(str(n)))) for n in range(30)]
+            tries = [asyncio.create_task(post_chat(loop.address, body(str(n)))) for n in range(30)]
             await asyncio.sleep(0.003)
-            loop.tell(wr="draining")
+            loop.push_list(wr="draining")
             told = time.monotonic_ns() // 1000
             answers = await asyncio.gather(*tries)
-            answers += await asyncio.gather(*(ask(loop.address, body(str(n))) for n in range(10)))
+            answers += await asyncio.gather(*(post_chat(loop.address, body(str(n))) for n in range(10)))
             assert {status for status, _, _ in answers} == {200}
             assert all(line["t"] < told + 250_000 for line in forwards(loop, "wr"))
 
@@ -307,7 +309,7 @@
             writer.close()
 
         sent = [0]
-        async with Loopback(tmp_path, engines=(), odd={"wr": fast}) as loop:
+        async with Loopback(tmp_path, engines=(), handlers={"wr": fast}) as loop:
             reader, writer = await asyncio.open_connection(*loop.address.split(":"), limit=1024)
             writer.write(http(body(stream=True)))
             await reader.readline()
@@ -330,9 +332,9 @@
             loop.daemon.host.router.slow_start.warm_within = rules.warm_within
             loop.engines["wr"].warmth = Warmth(rules, time.monotonic_ns() // 1000, cold=True)
             started = time.time_ns() // 1000
-            entry = ListedEngine("wr", loop.listed["wr"], "a", 0, "writer", started_at=started)
-            loop.daemon.host.on_list(ListNews(False, [entry]))
-            answers = await asyncio.gather(*(ask(loop.address, body(str(n))) for n in range(1000)))
+            entry = ListedEngine("wr", loop.engine_addresses["wr"], "a", 0, "writer", started_at=started)
+            loop.daemon.host.on_engine_list(ListNews(False, [entry]))
+            answers = await asyncio.gather(*(post_chat(loop.address, body(str(n))) for n in range(1000)))
             ends = [status for status, _, _ in answers]
             assert len(ends) == 1000 and set(ends) <= {200, 502, 503, 504}
             assert not loop.engines["wr"].warmth.fallen and ends.count(503) > 900
@@ -344,12 +346,12 @@
     async def play():
         async with Loopback(tmp_path, engines=("rd", "wr")) as loop:
             assert loop.daemon.condition().word == "ready"
-            loop.tell(wr="gone")
+            loop.push_list(wr="gone")
             assert loop.daemon.condition().word == "down" and not loop.daemon.condition().ready
-            status, said, head = await ask(loop.address, body())
+            status, said, head = await post_chat(loop.address, body())
             assert status == 503 and "retry-after" in head
-            loop.daemon.host.listed_at = 0
-            status, said, head = await ask(loop.address, body())
+            loop.daemon.host.list_received_at = 0
+            status, said, head = await post_chat(loop.address, body())
             assert status == 503 and b"not_ready" in said
 
     run(play())
--- a/tests/test_daemon_faults.py
+++ b/tests/test_daemon_faults.py
@@ -4,7 +4,7 @@
 import time
 from contextlib import AsyncExitStack
 
-from loopback import body, http, raw
+from loopback import body, http, send_raw
 from test_fleet import Processes, address, run
 
 from lifthead.standins.faults.proxy import Fault, FaultProxy
@@ -36,7 +36,7 @@
 
     async def ask(at, text):
         began = time.monotonic()
-        answer = await raw(at, http(body(text, stream=True, max_tokens=8)), within=BUDGET + 5)
+        answer = await send_raw(at, http(body(text, stream=True, max_tokens=8)), within=BUDGET + 5)
         return int(answer.split()[1]) if answer else 0, time.monotonic() - began
 
     async with Processes(tmp_path) as stage, AsyncExitStack() as stack:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -97,7 +97,7 @@
                 await client.answer()
             await asyncio.sleep(0.15)
             os.write(busy.writer.get_extra_info("socket").fileno(), chat(100))
-            first, second = node.door.make_room(), node.door.make_room()
+            first, second = node.door.evict_idle(), node.door.evict_idle()
             return first, second, await idle.closed(0.5), (await busy.answer())[0]
 
     assert played(play, wr=Engine()) == (True, False, True, 200)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 
 import openai
 import pytest
-from loopback import KEY, SCRIPT, body, http, raw
+from loopback import KEY, SCRIPT, body, http, send_raw
 
 from lifthead.deployment import script
 from lifthead.fleet import admin
@@ -110,7 +110,7 @@
             await stage.fault("wr", "slow", 30_000_000, 1.0, 6.0, "")
             at = address(stage)
             tries = [
-                asyncio.create_task(raw(at, http(body(text, stream=stream, max_tokens=30)), within=15))
+                asyncio.create_task(send_raw(at, http(body(text, stream=stream, max_tokens=30)), within=15))
                 for text in ("hi", "fuel card " * 2500)
                 for stream in (True, False)
                 for _ in range(10)
@@ -138,7 +138,7 @@
     async def play():
         async with Processes(tmp_path) as stage:
             tries = [
-                asyncio.create_task(raw(address(stage), http(body(stream=True, max_tokens=400))))
+                asyncio.create_task(send_raw(address(stage), http(body(stream=True, max_tokens=400))))
                 for _ in range(5)
             ]
             await asyncio.sleep(0.2)
@@ -154,7 +154,7 @@
                 and took < 2
             )
             await stage.start_router("r")
-            assert b"[DONE]" in await raw(address(stage), http(body(stream=True)))
+            assert b"[DONE]" in await send_raw(address(stage), http(body(stream=True)))
             said = await asyncio.to_thread(lifthead, "routers", "--run", tmp_path, "--json")
             assert said.returncode == 0 and json.loads(said.stdout)[0]["state"] == "ready"
 
@@ -171,10 +171,10 @@
             ).returncode == 0
             assert (await call(health, "GET", "/ready"))[0] == 503 and await agent(stage) == b"drain\n"
             assert (await call(health, "GET", "/live"))[0] == 200
-            assert b"not_ready" in await raw(address(stage), http(body()))
+            assert b"not_ready" in await send_raw(address(stage), http(body()))
             await asyncio.to_thread(lifthead, "drain", "r", "--undo", "--run", tmp_path)
             assert (await call(health, "GET", "/ready"))[0] == 200
-            assert b"[DONE]" in await raw(address(stage), http(body(stream=True)))
+            assert b"[DONE]" in await send_raw(address(stage), http(body(stream=True)))
             assert b"lifthead_reqs_ended_total" in (await call(health, "GET", "/metrics"))[1]
             assert (await call(health, "GET", "/none"))[0] == 404
             seen = json.loads(
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from loopback import SCRIPT, body, http, raw
+from loopback import SCRIPT, body, http, send_raw
 from test_fleet import Processes, lifthead
 
 from lifthead.engines.codec import ListedEngine
@@ -51,7 +51,7 @@
 
             async def client(number, tokens):
                 answers.append(
-                    await raw(at, http(body(f"{number}", stream=True, max_tokens=tokens)), within=20)
+                    await send_raw(at, http(body(f"{number}", stream=True, max_tokens=tokens)), within=20)
                 )
 
             async with asyncio.TaskGroup() as tasks:
@@ -100,7 +100,7 @@
                 await successor(stage, tmp_path)
             assert "no router hands its sockets over" in (tmp_path / "next.err").read_text()
             at = stage.address("r")
-            assert b"[DONE]" in await raw(at, http(body("still", stream=True, max_tokens=4)))
+            assert b"[DONE]" in await send_raw(at, http(body("still", stream=True, max_tokens=4)))
 
     asyncio.run(asyncio.wait_for(play(), 60))
 
@@ -121,7 +121,7 @@
                     up = sorted(stage.routers)
                     at = stage.address(up[number % len(up)])
                     sent = http(body(f"{number}", stream=True, max_tokens=4))
-                    answers[number] = up[number % len(up)], await raw(at, sent, within=8)
+                    answers[number] = up[number % len(up)], await send_raw(at, sent, within=8)
                     await asyncio.sleep(0.01)
 
             async with asyncio.TaskGroup() as tasks:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -13,7 +13,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from loopback import SCRIPT, Loopback, body, http, raw
+from loopback import SCRIPT, Loopback, body, http, send_raw
 from test_daemon import run, texts
 from test_fleet import lifthead
 
@@ -419,26 +419,28 @@
 def test_an_answer_ends_only_once_its_entry_is_on_the_disk(tmp_path):
     async def play():
         async with Loopback(tmp_path, text=LEDGER) as loop:
-            write = loop._group.create_task(loop.daemon.keeper.write())
-            disk = loop.daemon.keeper.journal._disk
+            write = loop._group.create_task(loop.daemon.ledger.write())
+            disk = loop.daemon.ledger.journal._disk
             sync = disk.sync
-            tries = [asyncio.create_task(raw(loop.address, http(body("x", stream=True)))) for _ in range(8)]
+            tries = [
+                asyncio.create_task(send_raw(loop.address, http(body("x", stream=True)))) for _ in range(8)
+            ]
             answers = await asyncio.gather(*tries)
             assert all(texts(answer)[1] == b"[DONE]" for answer in answers)
-            kept = usages(loop.daemon.keeper.journal)
+            kept = usages(loop.daemon.ledger.journal)
             assert len(kept) == 8 and {entry.billed_answer for entry in kept} == {kept[0].sent}
 
             def full(name):
                 raise OSError(28, "No space left on device")
 
             disk.sync = full
-            slow = asyncio.create_task(raw(loop.address, http(body("y", stream=True)), within=12))
-            await loop.until(lambda: loop.daemon.keeper.unwritable)
-            assert b"can't write its ledger" in await raw(loop.address, http(body("z")))
+            slow = asyncio.create_task(send_raw(loop.address, http(body("y", stream=True)), within=12))
+            await loop.until(lambda: loop.daemon.ledger.unwritable)
+            assert b"can't write its ledger" in await send_raw(loop.address, http(body("z")))
             disk.sync = sync
             assert texts(await slow)[1] == b"[DONE]"
-            await loop.until(lambda: not loop.daemon.keeper.unwritable)
-            assert len(usages(loop.daemon.keeper.journal)) == 9
+            await loop.until(lambda: not loop.daemon.ledger.unwritable)
+            assert len(usages(loop.daemon.ledger.journal)) == 9
             write.cancel()
 
     run(play())
@@ -510,12 +512,12 @@
     async def play():
         text = LEDGER + 'budget("t", tokens = 200, soft = 0.5)\n'
         async with Loopback(tmp_path, text=text) as loop:
-            write = loop._group.create_task(loop.daemon.keeper.write())
-            ends = [await raw(loop.address, http(body("x" * 200, max_tokens=20))) for _ in range(6)]
+            write = loop._group.create_task(loop.daemon.ledger.write())
+            ends = [await send_raw(loop.address, http(body("x" * 200, max_tokens=20))) for _ in range(6)]
             status = [int(answer.split()[1]) for answer in ends]
             assert status[0] == 200 and status[-1] == 429 and b"insufficient_quota" in ends[-1]
-            assert loop.daemon.biller.shares()["t"] < 1
-            assert loop.daemon.keeper.journal.book.used(loop.daemon.keeper.period(), "t") <= 200
+            assert loop.daemon.billing.shares()["t"] < 1
+            assert loop.daemon.ledger.journal.book.used(loop.daemon.ledger.period(), "t") <= 200
             write.cancel()
 
     run(play())
@@ -626,7 +628,7 @@
             name = chance.choice(sorted(stage.routers) or ["r0"])
             at = stage.address(name) if name in stage.routers else "127.0.0.1:1"
             try:
-                answer = await raw(at, http(said), within=8)
+                answer = await send_raw(at, http(said), within=8)
             except (OSError, TimeoutError):
                 return
             if b"[DONE]" in answer:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from loopback import SCRIPT, Loopback, body, http, raw
+from loopback import SCRIPT, Loopback, body, http, send_raw
 from test_daemon import run
 from test_fleet import Processes, address, lifthead
 from test_ledger import CrashError, MemoryDisk
@@ -251,7 +251,7 @@
             stage.engine_file = watched
             await stage.start_router("r")
             at = address(stage)
-            assert b"[DONE]" in await raw(at, http(body(stream=True)))
+            assert b"[DONE]" in await send_raw(at, http(body(stream=True)))
 
             async def state():
                 done = await asyncio.to_thread(lifthead, "members", "--run", tmp_path, "--json")
@@ -268,7 +268,7 @@
                 while not over.is_set():
                     number += 1
                     tries.append(
-                        asyncio.create_task(raw(at, http(body(f"{number}", max_tokens=8)), within=8))
+                        asyncio.create_task(send_raw(at, http(body(f"{number}", max_tokens=8)), within=8))
                     )
                     await asyncio.sleep(0.01)
 
@@ -312,7 +312,7 @@
             os.remove(watched)
             await stage.end("r", signal.SIGKILL)
             await stage.start_router("r")  # without the file: from the last good generation
-            assert b"[DONE]" in await raw(address(stage), http(body(stream=True)))
+            assert b"[DONE]" in await send_raw(address(stage), http(body(stream=True)))
             assert (await state())["file"]["generation"] == 5
 
     asyncio.run(asyncio.wait_for(play(), 60))
@@ -341,7 +341,7 @@
             told = time.monotonic_ns() // 1000
 
             async def answers(many):
-                said = [raw(address(stage), http(body(f"{n} {many}", stream=True))) for n in range(many)]
+                said = [send_raw(address(stage), http(body(f"{n} {many}", stream=True))) for n in range(many)]
                 assert all(b"[DONE]" in answer for answer in await asyncio.gather(*said))
 
             await answers(30)
@@ -367,7 +367,7 @@
 def of_loopback(loop):
     return [
         ListedEngine(name, at, "a", 0, {"r": "reader", "w": "writer"}[name[0]])
-        for name, at in loop.listed.items()
+        for name, at in loop.engine_addresses.items()
     ]
 
 
@@ -398,7 +398,7 @@
             for step in (-3_600_000_000, 3_600_000_000):
                 daemon.host.starts.wall_ahead = ahead - step  # as it was before
                 said = daemon._drain_engines({"selector": "wr", "limit": 5_000_000})
-                left = daemon.host.endpoints["wr"].drains_by - time.monotonic_ns() // 1000
+                left = daemon.host.endpoints["wr"].drain_deadline - time.monotonic_ns() // 1000
                 assert 4_000_000 < left <= 5_000_000
                 assert 4 < said["engines"][0]["left_s"] <= 5
                 daemon._drain_engines({"selector": "wr", "undo": True})
@@ -419,7 +419,7 @@
 
             monkeypatch.setattr(serve, "replace_file", full_at_first)
             daemon.on_push(ListNews(True, of_loopback(loop)))
-            loop.beats.append(loop._group.create_task(daemon.keep_list()))
+            loop.background_tasks.append(loop._group.create_task(daemon.persist_list()))
             await loop.until(lambda: daemon._list_file.exists())
             kept = msgspec.json.decode(daemon._list_file.read_bytes(), type=Last)
             assert {engine.name for engine in kept.engines} == {"rd", "wr"}
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from loopback import SCRIPT, Loopback, body, http, raw
+from loopback import SCRIPT, Loopback, body, http, send_raw
 from test_daemon import forwards, run, texts
 
 from lifthead.engines.codec import ListedEngine, ListNews
@@ -349,7 +349,7 @@
                 for name in names:
                     loop.fault(name, "overlap", lasts=20)
             loop.fault("wr", "reset", lasts=0.4 if how != "silent" else 0.0)
-            tries = [asyncio.create_task(raw(loop.address, http(said), within=15)) for said in says]
+            tries = [asyncio.create_task(send_raw(loop.address, http(said), within=15)) for said in says]
             await asyncio.sleep(0.25)
             if how == "silent":
                 loop.fault("wr", "silent", lasts=3.0)  # and then it wakes
@@ -361,7 +361,9 @@
                 words, last, _ = texts(answer)
                 assert last == b"[DONE]" and words == expected(said)
             legs = len(forwards(loop, *names))
-            assert legs > 12 and not loop.daemon.host.pending_requests and not loop.daemon.host._streams
+            assert (
+                legs > 12 and not loop.daemon.host.pending_requests and not loop.daemon.host._running_streams
+            )
 
     run(play())
 
@@ -379,7 +381,7 @@
             began, ends = time.monotonic(), []
             for number in range(6):
                 said = body(str(number), model=model, stream=True, max_tokens=300, **more)
-                answer = await raw(loop.address, http(said))
+                answer = await send_raw(loop.address, http(said))
                 if b"event-stream" in answer:
                     ends.append(texts(answer)[1])
             assert sum(b"stream_broken" in end for end in ends) > 2
@@ -400,7 +402,7 @@
             said = body(
                 "wait", model="once" if case == "non-replayable" else "m", stream=True, max_tokens=300
             )
-            answer = asyncio.create_task(raw(loop.address, http(said), within=15))
+            answer = asyncio.create_task(send_raw(loop.address, http(said), within=15))
             await loop.until(lambda: loop.engines["wr"].running or loop.engines["wr2"].running)
             for name in ("wr", "wr2"):
                 if "draining" in case:
@@ -409,12 +411,18 @@
                     loop.fault(name, "silent", lasts=1.0 if loop.engines[name].running else 0.0)
             if "draining" in case:
                 by = time.time_ns() // 1000 + 200_000
-                loop.daemon.host.on_list(
+                loop.daemon.host.on_engine_list(
                     ListNews(
                         False,
                         [
                             ListedEngine(
-                                name, loop.listed[name], "a", 0, "writer", readiness="draining", drains_by=by
+                                name,
+                                loop.engine_addresses[name],
+                                "a",
+                                0,
+                                "writer",
+                                readiness="draining",
+                                drains_by=by,
                             )
                             for name in ("wr", "wr2")
                         ],
@@ -430,15 +438,15 @@
 def test_a_client_that_leaves_while_its_stream_waits(tmp_path):
     async def play():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
-            loop.daemon.host.rescue.next = lambda now: []  # no place is free
+            loop.daemon.host.resumptions.next = lambda now: []  # no place is free
             loop.fault("wr", "reset", lasts=20)
             loop.fault("wr2", "reset", lasts=20)
             _, writer = await asyncio.open_connection(*loop.address.split(":"))
             writer.write(http(body("x", stream=True, max_tokens=300)))
-            await loop.until(lambda: loop.daemon.host.rescue.waiting == 1)
+            await loop.until(lambda: loop.daemon.host.resumptions.waiting == 1)
             writer.close()
             await loop.until(lambda: not loop.daemon.host.pending_requests, 1.0)
-            assert not loop.daemon.host.rescue.waiting and not loop.daemon.host._streams
+            assert not loop.daemon.host.resumptions.waiting and not loop.daemon.host._running_streams
 
     run(play())
 
@@ -449,16 +457,22 @@
             says = [body(f"drain {n}", stream=True, max_tokens=300) for n in range(6)]
             for name in ("wr", "wr2"):
                 loop.fault(name, "slow", lasts=20, times=4.0)
-            tries = [asyncio.create_task(raw(loop.address, http(said), within=25)) for said in says]
+            tries = [asyncio.create_task(send_raw(loop.address, http(said), within=25)) for said in says]
             await asyncio.sleep(0.6)
             assert loop.engines["wr"].running
             by = time.time_ns() // 1000 + 500_000
-            loop.daemon.host.on_list(
+            loop.daemon.host.on_engine_list(
                 ListNews(
                     False,
                     [
                         ListedEngine(
-                            "wr", loop.listed["wr"], "a", 0, "writer", readiness="draining", drains_by=by
+                            "wr",
+                            loop.engine_addresses["wr"],
+                            "a",
+                            0,
+                            "writer",
+                            readiness="draining",
+                            drains_by=by,
                         )
                     ],
                 )
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from loopback import SCRIPT, body, http, raw
+from loopback import SCRIPT, body, http, send_raw
 from test_fleet import Processes, lifthead
 
 from lifthead.members.roll import EngineSeen, Facts, Plan, Roll, RouterSeen, refusal
@@ -218,7 +218,7 @@
             async def load():
                 for number in range(400):
                     sent = http(body(f"{number}", stream=True, max_tokens=8))
-                    answers.append(await raw(at, sent, within=8))
+                    answers.append(await send_raw(at, sent, within=8))
                     await asyncio.sleep(0.01)
 
             async with asyncio.TaskGroup() as tasks:
