--- a/lifthead/chat/server.py
+++ b/lifthead/chat/server.py
@@ -1,4 +1,4 @@
-"""Connections of clients: asyncio streams around the codecs, with the limits that guard against bad peers."""
+"""HTTP/1.1 connections of clients, on asyncio streams, with limits that guard against misbehaving peers."""
 
 import asyncio
 import contextlib
@@ -12,16 +12,16 @@
 from lifthead import http1, peek
 from lifthead.http1 import Headers, HttpError, Message
 
-READ = 65_536
-LINGER = 1.0  # seconds
-LINGER_BYTES = 1 << 20  # of a peer that goes on sending what is not taken
-EARLY_BYTES = 1 << 19  # that a client may send behind a request that is not answered yet
-EARLY_PAUSE = 0.005  # seconds between reads of what a client sends past that
-ACCEPT_AGAIN = 0.02  # seconds, while no descriptor is to be had
-LOOKED_AT = 16  # idle connections that are looked at when one is to give way
-SILENT_FOR = 0.1  # seconds after which a connection without an open req may give way to a new one
-UNSENT = 16_384  # bytes that the system may hold for a client unsent: of more it does not tell what moves
-SHUT_AFTER = 1.0  # seconds after a stop for which what comes on open connections is still served
+READ_BYTES = 65_536  # read at once, and the high-water mark of the write buffer
+LINGER_FOR = 1.0  # seconds
+LINGER_BYTES = 1 << 20  # read and discarded at most while a connection lingers
+PIPELINED_BYTES = 1 << 19  # that a client may send behind a request that is not answered yet
+PIPELINED_PAUSE = 0.005  # seconds between reads of what a client sends past that
+ACCEPT_RETRY = 0.02  # seconds between attempts to accept while no descriptor is free
+EVICTION_CANDIDATES = 16  # idle connections that are examined when one is to be evicted
+EVICTABLE_AFTER = 0.1  # seconds after which a connection without an open request may be evicted
+UNSENT_BYTES = 16_384  # that the kernel buffers unsent per client: progress inside its buffer is not visible
+STOP_GRACE = 1.0  # seconds after a stop in which requests on open connections are still served
 JSON = {"content-type": "application/json"}
 
 log = logging.getLogger(__name__)
@@ -38,39 +38,42 @@
     connections: int
 
 
-async def _taken(writer: asyncio.StreamWriter, patience: float) -> None:
-    """Waits until the client has taken most of what was written; one that takes nothing of it for so many
-    seconds is given up, which guards memory and engines."""
+async def _wait_drained(writer: asyncio.StreamWriter, stall_timeout: float) -> None:
+    """Waits until the client has received most of what was written.
+
+    A client that receives nothing for `stall_timeout` seconds is disconnected: its answer would hold memory
+    here and a slot at an engine.
+    """
     transport = writer.transport
     while True:
         left = transport.get_write_buffer_size()
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(stall_timeout):
                 return await writer.drain()
         except TimeoutError:
             if transport.get_write_buffer_size() >= left:
                 return transport.abort()
         except OSError:
-            return  # the watch sees it
+            return  # the task that watches the connection sees the error
 
 
 class Reply:
     """One answer on a connection.
 
-    `on_client_gone` is called if the client disconnects before the answer is over. `last` is asked when the
-    head of the answer is built; true means that the connection closes after this answer.
+    `on_client_gone` is called if the client disconnects before the answer is over. `is_last` is called when
+    the head of the answer is built; true means that the connection closes after this answer.
     """
 
     def __init__(
         self,
         writer: asyncio.StreamWriter,
         keep_alive: bool,
-        patience: float = 20.0,
-        last: Callable[[], bool] = bool,
+        stall_timeout: float = 20.0,
+        is_last: Callable[[], bool] = bool,
     ) -> None:
         self._writer = writer
-        self._patience = patience  # seconds for which a client may take nothing of a begun stream
-        self._last = last
+        self._stall_timeout = stall_timeout  # seconds for which a client may receive nothing of a stream
+        self._is_last = is_last
         self.keep_alive = keep_alive
         self.begun = self.over = False
         self.on_client_gone: Callable[[], None] | None = None
@@ -78,23 +81,25 @@
 
     @property
     def client_gone(self) -> bool:
-        """Whether the client has left, though its end may still wait behind the loop's other work. The end of
-        its sending counts: a close can't be told from it."""
+        """Whether the client has disconnected, even if the event loop has not yet processed that.
+
+        A client that ends only its sending side counts as gone too: it can't be told from a close.
+        """
         return self.over or self._writer.transport.is_closing() or peek.seen(self._writer, peek.ENDED)
 
     def send_whole(self, status: int, body: bytes, headers: Headers = JSON) -> None:
-        """A whole answer at once."""
+        """Sends a complete answer at once."""
         if self.begun:
             return
         self.begun = self.over = True
-        fields = {**headers, "content-length": str(len(body)), "connection": self._kept()}
-        self._put(http1.answer_head(status, fields) + body)
+        fields = {**headers, "content-length": str(len(body)), "connection": self._connection_field()}
+        self._write(http1.answer_head(status, fields) + body)
         self.finished.set()
 
     def begin(self, headers: Headers, data: bytes = b"") -> None:
-        """The head of a stream of events, and its first."""
+        """Sends the head of an event stream, and its first events if there are any."""
         self.begun = True
-        self._put(
+        self._write(
             http1.answer_head(
                 200,
                 {
@@ -102,57 +107,58 @@
                     "content-type": "text/event-stream; charset=utf-8",
                     "cache-control": "no-cache",
                     "transfer-encoding": "chunked",
-                    "connection": self._kept(),
+                    "connection": self._connection_field(),
                 },
             )
             + (http1.chunk(data) if data else b"")
         )
 
     def truncate(self) -> None:
-        """The end of a begun stream that is not whole: the connection closes without a last chunk."""
+        """Ends an incomplete stream: the connection closes without a last chunk, so the client notices."""
         self.drop()
         self._writer.close()
 
     def send(self, data: bytes) -> bool:
         """Sends events of a stream. False if the write buffer is full: the caller awaits `wait_writable`."""
         if not self.over:
-            self._put(http1.chunk(data))
-        return self._writer.transport.get_write_buffer_size() <= READ
+            self._write(http1.chunk(data))
+        return self._writer.transport.get_write_buffer_size() <= READ_BYTES
 
     async def wait_writable(self) -> None:
-        """Waits until the client has taken most of what was sent."""
-        await _taken(self._writer, self._patience)
+        """Waits until the client has received most of what was sent."""
+        await _wait_drained(self._writer, self._stall_timeout)
 
     def end(self, data: bytes = b"") -> None:
-        """The last events of a begun stream."""
+        """Sends the last events of a stream and its last chunk."""
         if not self.over:
             self.over = True
-            self._put((http1.chunk(data) if data else b"") + http1.LAST_CHUNK)
+            self._write((http1.chunk(data) if data else b"") + http1.LAST_CHUNK)
             self.finished.set()
 
     def drop(self) -> None:
-        """Nothing more goes to this client: it left."""
+        """Sends nothing more: the client has disconnected."""
         self.over = True
         self.keep_alive = False
         self.finished.set()
 
-    def _kept(self) -> str:
-        self.keep_alive = self.keep_alive and not self._last()
+    def _connection_field(self) -> str:
+        self.keep_alive = self.keep_alive and not self._is_last()
         return "keep-alive" if self.keep_alive else "close"
 
-    def _put(self, data: bytes) -> None:
+    def _write(self, data: bytes) -> None:
         if not self._writer.transport.is_closing():
             self._writer.write(data)
 
 
-Waiting = dict[asyncio.StreamWriter, tuple[float, asyncio.Timeout]]
+# By connection: since when it waits for a request, and the timeout of its pending read.
+WaitingConnections = dict[asyncio.StreamWriter, tuple[float, asyncio.Timeout]]
 
 
 class ClientConnections:
     """Accepts connections and passes each complete request to `serve`, one at a time per connection.
 
     `error` builds the body of an answer to a malformed request. `first_request_within` is the time in seconds
-    from accepting a connection to its first complete request, for services that must close silent connections.
+    from accepting a connection to its first complete request, for services that must close silent ones.
     """
 
     def __init__(
@@ -167,56 +173,59 @@
         self._error = error
         self._first_request_within = first_request_within
         self._open: set[asyncio.StreamWriter] = set()
-        # Those without an open req, longest first: since when, and the time-out of their reading.
-        self._idle: Waiting = {}
-        self._fresh: Waiting = {}  # no req has come on them yet
-        self._entering = 0
-        self._called: asyncio.Future[None] | None = None  # `accept` waits for a connection, or for the stop
-        self.stopping = self._shut = False
+        # Connections without an open request, the one that waits longest first.
+        self._idle: WaitingConnections = {}
+        self._new: WaitingConnections = {}  # no request has come on them yet
+        self._accepting = 0
+        self._accept_event: asyncio.Future[None] | None = None  # set by a new connection or by the stop
+        self.stopping = self._refusing = False
 
     @property
     def connections(self) -> int:
-        return len(self._open) + self._entering
+        return len(self._open) + self._accepting
 
     async def accept(self, listener: socket.socket, tasks: asyncio.TaskGroup) -> None:
-        """Takes connections one by one, for services with few descriptors: never more than may be open. When
-        all are in use, one that is idle gives way; else new ones wait where the system keeps them. Returns
-        after a stop, once none waits there: closing would reset those, whose requests this machine has."""
-        while not self._shut:
+        """Accepts connections one by one, for services with few descriptors, and never more than may be open.
+
+        When all are in use, an idle one is evicted; if none is idle, new ones wait in the listen queue. After
+        a stop, it returns once the listen queue is empty: closing the listener would reset connections whose
+        requests this machine has already received.
+        """
+        while not self._refusing:
             if self.connections >= self.limits.connections and not self.evict_idle():
-                await asyncio.sleep(ACCEPT_AGAIN)
+                await asyncio.sleep(ACCEPT_RETRY)
                 continue
             try:
                 connected, _ = listener.accept()
             except BlockingIOError:
                 if self.stopping:
                     return
-                await self._call(listener)
+                await self._wait_for_connection(listener)
                 continue
-            except OSError:  # no descriptor is left, or the peer has gone again
-                await asyncio.sleep(ACCEPT_AGAIN)
+            except OSError:  # no descriptor is free, or the peer has disconnected again
+                await asyncio.sleep(ACCEPT_RETRY)
                 continue
             connected.setblocking(False)
-            self._entering += 1
-            tasks.create_task(self._enter(connected))
+            self._accepting += 1
+            tasks.create_task(self._start_connection(connected))
 
-    async def _call(self, listener: socket.socket) -> None:
-        """Until a connection waits, or the stop."""
+    async def _wait_for_connection(self, listener: socket.socket) -> None:
+        """Waits for a connection in the listen queue, or for the stop."""
         loop = asyncio.get_running_loop()
-        self._called = loop.create_future()
-        loop.add_reader(listener, self._on_call)
+        self._accept_event = loop.create_future()
+        loop.add_reader(listener, self._resume_accept)
         try:
-            await self._called
+            await self._accept_event
         finally:
             loop.remove_reader(listener)
 
-    def _on_call(self) -> None:
-        if self._called and not self._called.done():
-            self._called.set_result(None)
+    def _resume_accept(self) -> None:
+        if self._accept_event and not self._accept_event.done():
+            self._accept_event.set_result(None)
 
-    async def _enter(self, connected: socket.socket) -> None:
+    async def _start_connection(self, connected: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        reader = asyncio.StreamReader(limit=READ, loop=loop)
+        reader = asyncio.StreamReader(limit=READ_BYTES, loop=loop)
         protocol = asyncio.StreamReaderProtocol(reader, loop=loop)
         try:
             transport, _ = await loop.connect_accepted_socket(lambda: protocol, connected)
@@ -224,43 +233,49 @@
             connected.close()
             return
         finally:
-            self._entering -= 1
+            self._accepting -= 1
         try:
             await self.handle_connection(reader, asyncio.StreamWriter(transport, protocol, reader, loop))
-        except Exception:  # guards all other clients against a fault of ours in this one's connection
-            log.exception("a client's connection")
+        except Exception:  # a fault in the handling of one client must not end the others
+            log.exception("unexpected error on a client connection")
 
     def evict_idle(self) -> bool:
-        """Has the connection closed that has waited longest without an open req: silent ones first, which
-        sent nothing yet. Those that were accepted just now are spared: their bytes are on their way. So are
-        those with bytes that nobody has read yet, or with an answer that is still on its way out."""
+        """Closes the connection that has waited longest without an open request; False if there is none.
+
+        Connections that have not sent anything yet go first. Not evicted are those that were accepted just
+        now, whose bytes may be on their way, those with bytes that are not read yet, and those whose answer
+        is not fully sent.
+        """
         now = asyncio.get_running_loop().time()
-        for waiting in (self._fresh, self._idle):
-            for writer, (since, reading) in itertools.islice(waiting.items(), LOOKED_AT):
+        for waiting in (self._new, self._idle):
+            for writer, (since, reading) in itertools.islice(waiting.items(), EVICTION_CANDIDATES):
                 unsent = writer.transport.get_write_buffer_size()
-                spared = now - since <= SILENT_FOR or unsent or reading.expired()
-                if not spared and not peek.seen(writer, peek.UNREAD):
+                in_use = now - since <= EVICTABLE_AFTER or unsent or reading.expired()
+                if not in_use and not peek.seen(writer, peek.UNREAD):
                     del waiting[writer]
                     self._open.discard(writer)
                     reading.reschedule(now)
                     return True
         return False
 
-    def stop(self, shut_after: float = SHUT_AFTER) -> None:
-        """Idle connections close now, the others after the answer that they are at. A new one has a moment
-        for its first req: it was accepted, and its client's bytes may be on their way. What is whole only
-        when that is over is refused: this process may be ended before it could be served."""
+    def stop(self, grace: float = STOP_GRACE) -> None:
+        """Closes idle connections now and the others after their current answer.
+
+        A new connection has the grace period for its first request: it was accepted, and the client's bytes
+        may be on their way. A request that is complete only after the grace period is refused, since this
+        process may be killed before it could be served.
+        """
         self.stopping = True
-        self._on_call()
-        self._close(self._idle)
-        asyncio.get_running_loop().call_later(shut_after, self._shuts)
+        self._resume_accept()
+        self._end_reading(self._idle)
+        asyncio.get_running_loop().call_later(grace, self._refuse_requests)
 
-    def _shuts(self) -> None:
-        self._shut = True
-        self._close(self._fresh)
+    def _refuse_requests(self) -> None:
+        self._refusing = True
+        self._end_reading(self._new)
 
-    def _close(self, waiting: Waiting) -> None:
-        """Only the reading ends: what had come by then is answered, what comes later is not read."""
+    def _end_reading(self, waiting: WaitingConnections) -> None:
+        """Ends only the reading: what has arrived by now is answered, what arrives later is not read."""
         for _, reading in waiting.values():
             if not reading.expired():
                 reading.reschedule(asyncio.get_running_loop().time())
@@ -268,59 +283,61 @@
     async def wait_closed(self) -> None:
         """Returns once no connection is open."""
         while self.connections:
-            await asyncio.sleep(ACCEPT_AGAIN)
+            await asyncio.sleep(ACCEPT_RETRY)
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if len(self._open) >= self.limits.connections:
-            writer.close()  # guards against a flood of connections: what is open goes on
+            writer.close()  # a flood of new connections does not disturb the open ones
             return
-        writer.transport.set_write_buffer_limits(high=READ)
+        writer.transport.set_write_buffer_limits(high=READ_BYTES)
         with contextlib.suppress(OSError):
-            writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, UNSENT)
+            writer.get_extra_info("socket").setsockopt(
+                socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, UNSENT_BYTES
+            )
         self._open.add(writer)
         try:
-            await self._talk(reader, writer)
-        except OSError:  # however the system words it
+            await self._serve_requests(reader, writer)
+        except OSError:  # the connection is gone, whichever error the system reports for it
             pass
         finally:
             try:
                 writer.transport.set_write_buffer_limits(high=0)
-                await _taken(writer, self.limits.body_within / 1e6)
-                async with asyncio.timeout(LINGER):
+                await _wait_drained(writer, self.limits.body_within / 1e6)
+                async with asyncio.timeout(LINGER_FOR):
                     writer.close()
                     await writer.wait_closed()
-            except (TimeoutError, OSError):  # its descriptor is wanted
+            except (TimeoutError, OSError):  # free the descriptor at once
                 writer.transport.abort()
             finally:
                 self._open.discard(writer)
 
-    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         parser = http1.ReqParser(self.limits.header_bytes, self.limits.body_bytes)
-        idle = self._fresh
+        waiting = self._new
         while True:
             try:
-                message = await self._next(reader, writer, parser, idle)
-                idle = self._idle
+                message = await self._next_request(reader, writer, parser, waiting)
+                waiting = self._idle
             except HttpError as problem:
-                said = self._error(problem.status, "bad_http", problem.said)
-                Reply(writer, False).send_whole(problem.status, said)
+                body = self._error(problem.status, "bad_http", problem.said)
+                Reply(writer, False).send_whole(problem.status, body)
                 return await self._linger(reader, writer)
             if message is None:
                 return
-            # Behind what was read already comes no end, also after a stop: its clients are owed answers.
+            # The connection stays open, even after a stop, while parsed requests wait for their answers.
             reply = Reply(
                 writer,
                 message.keep_alive,
                 self.limits.body_within / 1e6,
                 lambda: self.stopping and not parser.ready,
             )
-            if self._shut:
+            if self._refusing:
                 reply.send_whole(
-                    503, self._error(503, "stopping", "it came too late: trying again does no harm")
+                    503, self._error(503, "stopping", "this router is stopping: the request is safe to retry")
                 )
             else:
                 async with asyncio.TaskGroup() as tasks:
-                    watch = tasks.create_task(self._watch(reader, parser, reply))
+                    watch = tasks.create_task(self._watch_for_close(reader, parser, reply))
                     await self._serve(message, reply)
                     watch.cancel()
             if not reply.keep_alive:
@@ -329,18 +346,20 @@
                 return
             await reply.wait_writable()
 
-    async def _next(
+    async def _next_request(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         parser: http1.ReqParser,
-        idle: Waiting,
+        waiting: WaitingConnections,
     ) -> Message | None:
-        """The next whole req; None if the client is done. Guards against slow senders: a head and a body
-        each have their time."""
+        """Returns the next complete request; None if the client is done.
+
+        Slow senders are cut off: a head and a body each have a time limit.
+        """
         limits, since, in_head = self.limits, None, True
         loop = asyncio.get_running_loop()
-        first = idle is self._fresh and self._first_request_within
+        first = waiting is self._new and self._first_request_within
         latest = loop.time() + first if first else math.inf
         while not parser.ready:
             if parser.broken:
@@ -350,50 +369,56 @@
                     since, in_head = loop.time(), parser.in_head
                 until = since + (limits.header_within if in_head else limits.body_within) / 1e6
             else:
-                resting = 0 if self.stopping and idle is self._idle else limits.idle_for / 1e6
-                until = loop.time() + resting
+                idle_timeout = 0 if self.stopping and waiting is self._idle else limits.idle_for / 1e6
+                until = loop.time() + idle_timeout
             try:
                 async with asyncio.timeout_at(min(until, latest)) as reading:
                     if not parser.partial:
-                        idle[writer] = (loop.time(), reading)
-                    data = await reader.read(READ)
+                        waiting[writer] = (loop.time(), reading)
+                    data = await reader.read(READ_BYTES)
             except TimeoutError:
                 if parser.partial:
-                    raise HttpError(408, "the req did not come in time") from None
-                data = await _come(reader, writer)  # read from the system by then, so it has to be answered
+                    raise HttpError(408, "the request did not arrive in time") from None
+                data = await _take_buffered(reader, writer)  # already read from the socket: must be answered
                 if data:
-                    self._open.add(writer)  # it may have given way, and does not now
+                    self._open.add(writer)  # an eviction may have removed it
             finally:
-                idle.pop(writer, None)
+                waiting.pop(writer, None)
             if not data:
                 return None
             parser.take(data, loop.time())
         return parser.ready.popleft()
 
     async def _linger(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Closes only once the peer has had time to read why: with bytes of its own still unread, an answer
-        would be lost to a reset."""
+        """Lets the peer read the answer before the connection closes.
+
+        A close with unread bytes of the peer would send a reset, which can destroy the answer on its way.
+        """
         left = LINGER_BYTES
         with contextlib.suppress(OSError, TimeoutError):
-            async with asyncio.timeout(LINGER):
+            async with asyncio.timeout(LINGER_FOR):
                 await writer.drain()
                 writer.write_eof()
-                while left > 0 and (data := await reader.read(READ)):
+                while left > 0 and (data := await reader.read(READ_BYTES)):
                     left -= len(data)
 
-    async def _watch(self, reader: asyncio.StreamReader, parser: http1.ReqParser, reply: Reply) -> None:
-        """Sees at once that the client left, whatever it sent before: reading goes on to the end. What comes
-        early is parsed, up to a bound, and waits its turn; what comes past that, or can't be read, is thrown
-        away. A client that closes its sending side counts as gone."""
-        early, loop = 0, asyncio.get_running_loop()
+    async def _watch_for_close(
+        self, reader: asyncio.StreamReader, parser: http1.ReqParser, reply: Reply
+    ) -> None:
+        """Reads on while a request is served, so that a disconnect is noticed at once.
+
+        Pipelined requests are parsed up to a limit and wait for their turn; what exceeds it, or is malformed,
+        is discarded. A client that closes its sending side counts as gone.
+        """
+        pipelined, loop = 0, asyncio.get_running_loop()
         with contextlib.suppress(OSError):
-            while data := await reader.read(READ):
-                early += len(data)
-                if early > EARLY_BYTES:
-                    parser.broken = HttpError(413, f"over {EARLY_BYTES} bytes came before an answer")
+            while data := await reader.read(READ_BYTES):
+                pipelined += len(data)
+                if pipelined > PIPELINED_BYTES:
+                    parser.broken = HttpError(413, f"over {PIPELINED_BYTES} bytes came before an answer")
                 parser.take(data, loop.time())
-                if parser.broken:  # guards memory and the loop against a flood behind a request
-                    await asyncio.sleep(EARLY_PAUSE)
+                if parser.broken:  # a flood behind a request must not fill the memory or occupy the loop
+                    await asyncio.sleep(PIPELINED_PAUSE)
         reply.keep_alive = False
         if not reply.over:
             reply.drop()
@@ -401,13 +426,16 @@
                 reply.on_client_gone()
 
 
-async def _come(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bytes:
-    """What the loop has read and nobody has taken yet; b"" if nothing. The loop reads no more then: what
-    comes while the connection closes stays with the system, whose reset tells the client so."""
+async def _take_buffered(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bytes:
+    """Returns what the event loop has read and nobody has consumed yet; b"" if there is nothing.
+
+    If there is nothing, reading stays paused: bytes that arrive while the connection closes remain in the
+    kernel, which then resets the connection, so the client knows that they were not processed.
+    """
     writer.transport.pause_reading()
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(0):
-            if data := await reader.read(READ):
+            if data := await reader.read(READ_BYTES):
                 writer.transport.resume_reading()
             return data
     return b""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -310,7 +310,7 @@
 ENDS = {
     "stop": lambda node: node.door.stop(),
     "shed": lambda node: node.door.evict_idle(),
-    "idle": lambda node: node.door._close(node.door._idle),
+    "idle": lambda node: node.door._end_reading(node.door._idle),
 }
 
 
