--- a/lifthead/chat/__init__.py
+++ b/lifthead/chat/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: OpenAI-style chat over HTTP/1.1, with streamed events."""
+"""The API for clients: OpenAI-compatible chat completions over HTTP/1.1, with event streams."""
--- a/lifthead/chat/length.py
+++ b/lifthead/chat/length.py
@@ -1,9 +1,9 @@
-"""How long a prompt is, in tokens. An estimate for now: the one place that a tokenizer is to replace."""
+"""Estimates the length of a prompt in tokens. A tokenizer would replace only this file."""
 
 BYTES_PER_TOKEN = 4
-PER_MESSAGE = 4  # tokens around each message
+TOKENS_PER_MESSAGE = 4  # for the role and the separators
 
 
-def tokens(texts: list[str]) -> int:
-    """Tokens of a prompt made of these messages: four UTF-8 bytes each, and four for each message."""
-    return sum(-(-len(text.encode()) // BYTES_PER_TOKEN) + PER_MESSAGE for text in texts)
+def estimate_tokens(texts: list[str]) -> int:
+    """Estimates the tokens of a prompt that consists of these messages."""
+    return sum(-(-len(text.encode()) // BYTES_PER_TOKEN) + TOKENS_PER_MESSAGE for text in texts)
--- a/lifthead/daemon/billing.py
+++ b/lifthead/daemon/billing.py
@@ -1,6 +1,6 @@
-"""From a request in hand to its entry, and from entries to budgets: what the daemon's host calls."""
+"""Writes a ledger entry for each request and applies the token budgets of tenants; called by the host."""
 
-from lifthead.daemon.requests import ChatRequest
+from lifthead.daemon.requests import PendingChatRequest
 from lifthead.ledger.entries import Usage, usage
 from lifthead.ledger.keeper import Keeper
 from lifthead.ledger.quota import Quota
@@ -12,12 +12,12 @@
         self._tenants: list[str] = []
         self._period = ""
 
-    def take_up(self, tenants: list[str]) -> None:
-        """Tenants with budgets; what they have used of the period is in the ledger."""
+    def set_tenants(self, tenants: list[str]) -> None:
+        """Sets the tenants that have budgets; the ledger has what they used of the current period."""
         self._tenants = tenants
-        self._turn()
+        self._follow_period()
 
-    def _turn(self) -> None:
+    def _follow_period(self) -> None:
         period = self._keeper.period()
         if period != self._period:
             self._period = period
@@ -25,42 +25,42 @@
             self._quota.period(period, used)
 
     def shares(self) -> dict[str, float]:
-        """The part of its share of requests that each tenant with a budget has now."""
-        self._turn()
+        """By tenant with a budget: the fraction of its request share that it may use now."""
+        self._follow_period()
         return {tenant: self._quota.share(tenant) for tenant in self._tenants}
 
-    async def done(self, pending: ChatRequest) -> None:
+    async def record_complete(self, pending: PendingChatRequest) -> None:
         pending.billed = True
         entry = self._entry(pending, "done")
         self._settle(pending, entry)
         await self._keeper.sure(entry)
 
-    def over(self, pending: ChatRequest) -> None:
+    def record_ended(self, pending: PendingChatRequest) -> None:
         if not pending.billed:
             pending.billed = True
             entry = self._entry(pending, pending.ended)
             self._settle(pending, entry)
             self._keeper.put(entry)
 
-    def _settle(self, pending: ChatRequest, entry: Usage) -> None:
-        most = pending.asked.prompt + pending.asked.max_out
-        self._quota.settle(pending.asked.tenant, most, entry.billed_prompt + entry.billed_answer)
+    def _settle(self, pending: PendingChatRequest, entry: Usage) -> None:
+        reserved = pending.request.prompt_tokens + pending.request.max_answer_tokens
+        self._quota.settle(pending.request.tenant, reserved, entry.billed_prompt + entry.billed_answer)
 
-    def _entry(self, pending: ChatRequest, ended: str) -> Usage:
-        asked = pending.asked
+    def _entry(self, pending: PendingChatRequest, ended: str) -> Usage:
+        request = pending.request
         return usage(
             req=pending.name,
             at=self._keeper.now(),
             period=self._keeper.period(),
-            tenant=asked.tenant,
-            group=asked.group,
+            tenant=request.tenant,
+            group=request.request_class,
             ended=ended,
-            begun=pending.reply.begun and pending.sent_tokens > 0,
-            prompt=asked.prompt,
-            kept=pending.kept,
-            sent=pending.sent_tokens,
-            made=pending.made,
-            forwards=pending.sent,
-            resumes=pending.legs,
-            read_anew=pending.read_anew,
+            begun=pending.reply.begun and pending.delivered_tokens > 0,
+            prompt=request.prompt_tokens,
+            kept=pending.cached_prompt_tokens,
+            sent=pending.delivered_tokens,
+            made=pending.generated_tokens,
+            forwards=pending.attempts_sent,
+            resumes=pending.resumes,
+            read_anew=pending.recomputed_tokens,
         )
--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -1,9 +1,9 @@
-"""The one caller of control.Router in the daemon: news from sockets becomes calls, its calls become tasks.
+"""The daemon's host of the decision module: socket events become calls of control.Router, its calls tasks.
 
-Boundaries kept here:
-- the module's calls return at once and its news comes on a later turn of the loop, in order, from one loop;
-- what any host does alike (one final answer, attempts out, wake-ups) is in lifthead/hosting.py;
-- deadlines are the module's; `stalled_for` is only a last guard on a begun stream, and it logs.
+Nothing else in the daemon calls control.Router. The rules of this file:
+- calls by the module return at once; their results reach it on a later turn of the event loop, in order;
+- what all hosts share (one final answer, attempts in flight, timers) is in lifthead/hosting.py;
+- the module owns all deadlines; `stalled_for` is only a last guard on a running stream, and it logs.
 """
 
 import asyncio
@@ -14,10 +14,10 @@
 
 from lifthead import control
 from lifthead.chat import codec as chat
-from lifthead.chat.codec import Asked, Gathered
+from lifthead.chat.codec import AnswerAssembler, ClientRequest
 from lifthead.chat.server import JSON, Reply
 from lifthead.daemon.metrics import Metrics
-from lifthead.daemon.requests import ChatAttempt, ChatEndpoint, ChatRequest, UsageRecorder
+from lifthead.daemon.requests import ChatAttempt, ChatEndpoint, PendingChatRequest, UsageRecorder
 from lifthead.daemon.resuming import ResumingHost
 from lifthead.deployment.fleet import Limits
 from lifthead.engines import codec
@@ -32,10 +32,10 @@
 from lifthead.resume.rescue import Rescue
 from lifthead.resume.splice import SeamError, Splice
 
-REST_WITHIN = 0.02  # seconds for the last bytes after a stream's end
-ASK_WITHIN = 1.0  # seconds that a probe may take; the module is told nothing of a lost one
-RUNS_WITHIN = 2.0  # seconds for an engine that may stand still to answer anything
-RELEASE_WITHIN = 0.1  # seconds for the answer to a release on a kept connection, and once more on a new one
+LAST_BYTES_TIMEOUT = 0.02  # seconds for the bytes that follow the end of a stream
+PROBE_TIMEOUT = 1.0  # seconds that a probe may take; a lost probe is not reported to the module
+LIVENESS_TIMEOUT = 2.0  # seconds for an engine that may be stalled to answer any request
+RELEASE_TIMEOUT = 0.1  # seconds for the answer to a release, on a pooled connection and again on a new one
 
 
 class Host(ResumingHost):
@@ -50,38 +50,38 @@
         tasks: asyncio.TaskGroup,
         metrics: Metrics,
         log: Any,
-        resumes: bool,
-        bill: UsageRecorder | None = None,
-        decide: Callable[[Any, Deployment], control.Router] = control.Router,
+        resume_enabled: bool,
+        usage_recorder: UsageRecorder | None = None,
+        make_router: Callable[[Any, Deployment], control.Router] = control.Router,
     ) -> None:
         super().__init__(deployment, tasks)
         self.name = name
         self.limits = limits
         self.metrics = metrics
-        self.list_received_at = 0  # when a list of engines last came; 0: never
+        self.list_received_at = 0  # 0: no list of engines was received yet
         self._log = log
-        self._resumes = resumes
-        self._bill = bill
+        self._resume_enabled = resume_enabled
+        self._usage_recorder = usage_recorder
         self._effects = {group.name: group.effect for group in deployment.groups.values()}
-        # Engines must not take the requests of this start for those of the one before.
-        self._life = f"{time.time_ns() // 1_000_000:x}"
-        self._running_streams: dict[int, ChatRequest] = {}  # whose stream has begun and may break, by serial
+        # Part of each request id, so that engines can't confuse requests of this process with earlier ones.
+        self._start_id = f"{time.time_ns() // 1_000_000:x}"
+        self._running_streams: dict[int, PendingChatRequest] = {}  # by serial number
         self.stall_detector = Notice(int(limits.stalled_for))
         self.resumptions = Rescue()
-        self.lately = Lately()
-        self.router = decide(self, deployment)
+        self.recent_answers = Lately()
+        self.router = make_router(self, deployment)
 
-    # What comes in.
+    # Events from outside.
 
-    def on_engine_list(self, news: ListNews) -> None:
-        """A push of the list of engines. What is left out of a whole list counts as gone."""
-        at, ahead = now(), wall_ahead()
+    def on_engine_list(self, update: ListNews) -> None:
+        """Takes an update of the list of engines. An engine that a whole list omits counts as gone."""
+        at, wall_offset = now(), wall_ahead()
         self.list_received_at = at
         entries = []
-        for listed in news.engines:
+        for listed in update.engines:
             endpoint = self._note(listed.name, listed.address, listed.kind, listed.readiness, at)
             endpoint.drain_deadline = listed.drains_by - self.starts.wall_ahead if listed.drains_by else 0
-            up_since = self.starts.up_since(listed.name, listed.started_at, at, ahead)
+            up_since = self.starts.up_since(listed.name, listed.started_at, at, wall_offset)
             entries.append(
                 EngineEntry(
                     listed.name,
@@ -94,166 +94,186 @@
                 )
             )
         self.starts.listed(at)
-        if news.whole:
-            self._only({listed.name for listed in news.engines}, at)
-        self.router.on_engines(entries, news.whole)
+        if update.whole:
+            self._only({listed.name for listed in update.engines}, at)
+        self.router.on_engines(entries, update.whole)
 
     def _link(self, address: str) -> Link:
         return Link(address, self.limits.connect_within / 1e6)
 
-    def on_list_lost(self) -> None:
+    def on_list_unavailable(self) -> None:
         self.router.on_engines_unavailable()
 
     @property
-    def ready_writers(self) -> int:
+    def ready_decode_engines(self) -> int:
         return sum(
             endpoint.readiness == "ready" and self._roles.get(endpoint.kind, "both") != "read"
             for endpoint in self.endpoints.values()
         )
 
-    async def take(self, asked: Asked, reply: Reply, waited: int = 0) -> None:
-        """A client's request, from its demand to the end of its answer. `waited`: microseconds of its budget
-        that are gone."""
+    async def accept(self, request: ClientRequest, reply: Reply, waited: int = 0) -> None:
+        """Serves a client's request to the end of its answer.
+
+        `waited` is the part of its budget, in microseconds, that has passed already.
+        """
         req_id, self._next = self._next, self._next + 1
-        name = f"{self.name}-{self._life}-{req_id}"
-        guard = self._guard(name, asked.group, max(asked.budget - waited, 0))
-        pending = ChatRequest(
-            id=req_id, serial=req_id, name=name, asked=asked, reply=reply, guard=guard, taken_at=now()
+        name = f"{self.name}-{self._start_id}-{req_id}"
+        guard = self._guard(name, request.request_class, max(request.budget - waited, 0))
+        pending = PendingChatRequest(
+            id=req_id, serial=req_id, name=name, request=request, reply=reply, guard=guard, accepted_at=now()
         )
-        pending.body = asked.body
+        pending.engine_body = request.body
         self.pending_requests[req_id] = pending
         self.empty.clear()
-        self.metrics.taken(asked.group)
+        self.metrics.count_accepted(request.request_class)
         reply.on_client_gone = lambda: self._left(pending)
-        self._tell(pending, max(asked.budget - waited, 0), asked.prompt, asked.max_out)
+        self._place_request(
+            pending, max(request.budget - waited, 0), request.prompt_tokens, request.max_answer_tokens
+        )
         await reply.finished.wait()
         self._forget(pending)
 
-    def _tell(self, pending: ChatRequest, budget: int, prompt: int, max_out: int) -> None:
-        """Has the module place a leg of the request."""
-        asked = pending.asked
+    def _place_request(self, pending: PendingChatRequest, budget: int, prompt: int, max_out: int) -> None:
+        """Has the module place the request, or the rest of its stream after a break."""
+        request = pending.request
         self._tell_module(
             Demand(
                 pending.id,
-                asked.group,
-                asked.tenant,
+                request.request_class,
+                request.tenant,
                 budget,
                 prompt,
                 max_out,
-                asked.session,
-                asked.beginning,
-                asked.beginning_len,
+                request.session,
+                request.shared_prefix,
+                request.shared_prefix_tokens,
                 0,
-                asked.again or pending.legs > 0,
-                *pending.ran,
+                request.is_retry or pending.resumes > 0,
+                *pending.broken_attempt,
             ),
             pending,
         )
 
-    def _left(self, pending: ChatRequest) -> None:
-        """The client went away: what is out for it is called off, what is held is let go of."""
+    def _left(self, pending: PendingChatRequest) -> None:
+        """The client has disconnected: its attempt is cancelled and its held state is released."""
         if not self._answered(pending, "left"):
             return
         self.router.on_expired(pending.id)
         self.resumptions.settled(pending.serial)
         self._running_streams.pop(pending.serial, None)
         if pending.begun and pending.attempt:
-            self.cancel(pending.id, pending.attempt.number)  # a stream that nobody reads
+            self.cancel(pending.id, pending.attempt.number)  # nobody reads this stream
 
-    # What the module does.
+    # Calls by the module.
 
     def forward(self, req: int, engine: str, abandon_at: int, send_by: int) -> None:
-        self.pending_requests[req].sent += 1
+        self.pending_requests[req].attempts_sent += 1
         super().forward(req, engine, abandon_at, send_by)
 
     def free_state(self, req: int) -> None:
         super().free_state(req)
         if pending := self.pending_requests.get(req):
-            pending.handle = None
+            pending.state_handle = None
 
     def push_back(self, req: int, hold_off: int) -> None:
         pending = self.pending_requests[req]
         if pending.reply.begun:
-            return self._break_off(pending, "no place was found for the rest of it")
+            return self._end_broken_stream(pending, "no engine could continue it")
         if self._answered(pending, "pushed back"):
             headers = {
-                **self._headers(pending),
+                **self._reply_headers(pending),
                 "retry-after": str(-(-hold_off // 1_000_000) or 1),
                 "retry-after-ms": str(hold_off // 1000),
             }
             pending.reply.send_whole(
-                503, chat.error(503, "overloaded", "pushed back: trying again does no harm"), headers
+                503, chat.error(503, "overloaded", "rejected: the request is safe to retry"), headers
             )
 
     def abort(self, req: int) -> None:
         pending = self.pending_requests[req]
         if pending.reply.begun:
-            return self._break_off(pending, "the rest of it could not be had in time")
+            return self._end_broken_stream(pending, "it could not be continued in time")
         if self._answered(pending, "aborted"):
-            late = now() - pending.taken_at >= pending.asked.budget * 9 // 10
+            late = now() - pending.accepted_at >= pending.request.budget * 9 // 10
             status, code = (504, "deadline") if late else (502, "aborted")
-            said = "aborted: whether it had an effect is not known"
-            headers = {**self._headers(pending), "x-should-retry": "false"}
-            pending.reply.send_whole(status, chat.error(status, code, said), headers)
+            message = "failed: it is unknown whether the request had an effect"
+            headers = {**self._reply_headers(pending), "x-should-retry": "false"}
+            pending.reply.send_whole(status, chat.error(status, code, message), headers)
 
     def probe(self, engine: str) -> None:
-        self._spawn(self._probe(engine), f"a probe of {engine}")
+        self._spawn(self._probe(engine), f"probe of {engine}")
 
-    # Carrying an attempt.
+    # Carrying out an attempt.
 
-    async def _carry(self, pending: ChatRequest, attempt: ChatAttempt, abandon_at: int) -> None:
-        """From the sending of an attempt to the telling of its ending; owns its connection throughout."""
+    async def _carry(self, pending: PendingChatRequest, attempt: ChatAttempt, abandon_at: int) -> None:
+        """Sends an attempt, follows it to its end and reports that; owns its connection all the while."""
         attempt.started = True
-        endpoint, name = self.endpoints[attempt.engine], f"{pending.name}.{pending.sent - 1}"
+        endpoint, attempt_id = self.endpoints[attempt.engine], f"{pending.name}.{pending.attempts_sent - 1}"
         connection: Connection | None = None
-        observation, note, report = Observation.CALLED_OFF, 0, None
+        observation, cached_tokens, report = Observation.CALLED_OFF, 0, None
         try:
-            async with asyncio.timeout_at(abandon_at / 1e6) as limit:
+            async with asyncio.timeout_at(abandon_at / 1e6) as timeout:
                 if attempt.called_off:
                     raise asyncio.CancelledError
                 try:
-                    # A kept connection that its engine closes can't be told from an attempt that ran.
-                    may_repeat = attempt.reading or self._effects[pending.asked.group] is Effect.REPLAYABLE
-                    connection = await endpoint.link.take(fresh=not may_repeat or attempt.number > 0)
+                    # If a pooled connection closes, it is unknown whether the attempt ran, so work that must
+                    # not run twice gets a new connection.
+                    may_run_twice = (
+                        attempt.reading or self._effects[pending.request.request_class] is Effect.REPLAYABLE
+                    )
+                    connection = await endpoint.link.take(fresh=not may_run_twice or attempt.number > 0)
                 except (OSError, TimeoutError):
                     observation = Observation.NO_CONNECTION
                 else:
                     observation = self._refused(pending, attempt, endpoint)
                     if observation is None:
-                        observation, note, report = await self._exchange(
-                            pending, attempt, endpoint, connection, name, limit
+                        observation, cached_tokens, report = await self._exchange(
+                            pending, attempt, endpoint, connection, attempt_id, timeout
                         )
         except TimeoutError:
             observation = Observation.OUT_OF_TIME
         except asyncio.CancelledError:
             if not attempt.called_off:
-                raise  # the process ends
-            observation = Observation.STALLED if attempt.lost else Observation.CALLED_OFF
+                raise  # the process is stopping
+            observation = Observation.STALLED if attempt.abandon_cause else Observation.CALLED_OFF
         except (OSError, EOFError):
             observation = Observation.CUT
         except (HttpError, StrangeError, SeamError) as problem:
             observation = Observation.STRANGE
             self._log.warning(
-                "strange answer", req=pending.name, engine=attempt.engine, said=str(problem)[:200]
+                "malformed answer from an engine",
+                req=pending.name,
+                engine=attempt.engine,
+                said=str(problem)[:200],
             )
         await self._part(pending, attempt, endpoint, connection, observation)
-        self._over(pending, attempt, observation, note, report)
+        self._finish_attempt(pending, attempt, observation, cached_tokens, report)
 
     async def _exchange(
         self,
-        pending: ChatRequest,
+        pending: PendingChatRequest,
         attempt: ChatAttempt,
         endpoint: ChatEndpoint,
         connection: Connection,
-        name: str,
-        limit: asyncio.Timeout,
+        attempt_id: str,
+        timeout: asyncio.Timeout,
     ) -> tuple[Observation, int, LoadReport | None]:
-        """Sends an attempt and reads its answer: what was seen, tokens found kept, the load told with it."""
-        asked, address = pending.asked, endpoint.link.address
+        """Sends an attempt and reads its answer.
+
+        Returns the observation, the prompt tokens found in the engine's prefix cache, and its load report.
+        """
+        request, address = pending.request, endpoint.link.address
         if attempt.reading:
-            sent = codec.read_req(address, name, asked.client_id, pending.body)
+            sent = codec.read_req(address, attempt_id, request.client_id, pending.engine_body)
         else:
-            sent = codec.write_req(address, name, asked.client_id, asked.key, pending.body, pending.handle)
+            sent = codec.write_req(
+                address,
+                attempt_id,
+                request.client_id,
+                request.idempotency_key,
+                pending.engine_body,
+                pending.state_handle,
+            )
         await connection.send(sent)
         pending.guard.written(attempt)
         self.router.on_written(pending.id, attempt.number, connection.uses > 0)
@@ -263,265 +283,287 @@
         report = codec.load_report(head.headers)
         if head.status != 200:
             await connection.rest()
-            seen = codec.refusal(head)
-            if seen is Observation.STATE_GONE:
-                pending.handle = None
+            refusal = codec.refusal(head)
+            if refusal is Observation.STATE_GONE:
+                pending.state_handle = None
                 pending.guard.state_gone()
-            return seen, 0, report
+            return refusal, 0, report
         if attempt.reading:
-            pending.handle, kept = codec.read_answer(await connection.rest())
-            pending.kept = kept
+            pending.state_handle, cached = codec.read_answer(await connection.rest())
+            pending.cached_prompt_tokens = cached
             pending.guard.leased(attempt, now())
-            return Observation.READ, kept, report
+            return Observation.READ, cached, report
         if report:
-            self.router.on_probed(attempt.engine, report)  # now, not when the stream ends
+            self.router.on_probed(attempt.engine, report)  # now: the end of the stream may be far away
         splice = None
-        if pending.legs:
-            splice = Splice(pending.written, asked.stop, codec.continues_at(head.headers))
-        return *await self._stream(pending, attempt, connection, limit, splice), None
+        if pending.resumes:
+            splice = Splice(pending.answer_so_far, request.stop_sequences, codec.continues_at(head.headers))
+        return *await self._relay_stream(pending, attempt, connection, timeout, splice), None
 
-    async def _stream(
+    async def _relay_stream(
         self,
-        pending: ChatRequest,
+        pending: PendingChatRequest,
         attempt: ChatAttempt,
         connection: Connection,
-        limit: asyncio.Timeout,
+        timeout: asyncio.Timeout,
         splice: Splice | None,
     ) -> tuple[Observation, int]:
-        """Relays a writer's events; holds back what comes before the first text, so that until then another
-        attempt is possible. With a splice, they go on from where the client's stream broke."""
-        events, gathered = codec.Events(), None if pending.asked.streamed else Gathered()
-        held_back: list[bytes] = []
-        stalled = self.limits.stalled_for / 1e6
-        guarded_at = 0.0
+        """Relays the events of a decode engine to the client.
+
+        Events before the first text are held back, so that another attempt is possible until then. With a
+        splice, they continue the client's stream from where it broke.
+        """
+        events, assembler = codec.Events(), None if pending.request.streamed else AnswerAssembler()
+        buffered: list[bytes] = []
+        stall_timeout = self.limits.stalled_for / 1e6
+        timeout_set_at = 0.0
         while data := await connection.more():
             tokens = events.tokens
             while data:
-                if pending.begun and not gathered and not splice:
-                    passes, looked_at = events.plain(data)
-                    held_back.append(passes)
+                if pending.begun and not assembler and not splice:
+                    plain, to_parse = events.plain(data)
+                    buffered.append(plain)
                     data = b""
-                else:  # one event at a time until the stream has begun
-                    cut = data.find(b"\n\n") + 2
-                    looked_at, data = (data[:cut], data[cut:]) if cut > 1 and not gathered else (data, b"")
-                for event, text, only_usage in events.feed(looked_at) if looked_at else ():
-                    if gathered:
-                        gathered.add(event[5:])
-                    elif not only_usage or pending.asked.wants_usage:
+                else:  # event by event until the stream has begun
+                    event_end = data.find(b"\n\n") + 2
+                    to_parse, data = (
+                        (data[:event_end], data[event_end:])
+                        if event_end > 1 and not assembler
+                        else (data, b"")
+                    )
+                for event, text, only_usage in events.feed(to_parse) if to_parse else ():
+                    if assembler:
+                        assembler.add(event[5:])
+                    elif not only_usage or pending.request.wants_usage:
                         if splice:
                             new = splice.event(event[5:])
                             if new is None:
-                                continue  # the client has it
+                                continue  # the client already has this text
                             event = b"data: " + new + b"\n\n"
-                        held_back.append(event)
+                        buffered.append(event)
                     if text and not pending.begun:
-                        self._begin(pending, attempt, limit)
-            attempt.tokens = events.tokens
+                        self._begin_stream(pending, attempt, timeout)
+            attempt.answer_tokens = events.tokens
             if splice and splice.stopped:
                 events.ended = True
             if events.ended:
                 break
-            if pending.begun and not gathered:
+            if pending.begun and not assembler:
                 if pending.ended:
                     return Observation.CALLED_OFF, 0
-                ready = b"".join(held_back)
-                held_back.clear()
-                pending.written.add(ready)
+                block = b"".join(buffered)
+                buffered.clear()
+                pending.answer_so_far.add(block)
                 if events.tokens > tokens:
                     self.stall_detector.text(pending.serial, now())
-                if ready and not pending.reply.send(
-                    chat.with_id(ready, f"{pending.name}:{pending.legs}:{events.tokens}")
+                if block and not pending.reply.send(
+                    chat.with_event_id(block, f"{pending.name}:{pending.resumes}:{events.tokens}")
                 ):
-                    limit.reschedule(None)  # a slow client is not a stalled engine
+                    timeout.reschedule(None)  # a slow client is not a stalled engine
                     self.stall_detector.rests(pending.serial)
                     await pending.reply.wait_writable()
                     self.stall_detector.goes_on(pending.serial, now())
-                    guarded_at = 0.0
-                if self._loop.time() > guarded_at + stalled / 8:
-                    guarded_at = self._loop.time()
-                    limit.reschedule(guarded_at + stalled * 9 / 8)
+                    timeout_set_at = 0.0
+                if self._loop.time() > timeout_set_at + stall_timeout / 8:
+                    timeout_set_at = self._loop.time()
+                    timeout.reschedule(timeout_set_at + stall_timeout * 9 / 8)
         if not events.ended:
             return Observation.CUT, 0
         self.stall_detector.ended(pending.serial)
-        limit.reschedule(None)  # the answer is whole
-        if not gathered and not pending.ended:
+        timeout.reschedule(None)  # the answer is complete
+        if not assembler and not pending.ended:
             if not pending.reply.begun:
-                pending.reply.begin(self._headers(pending))
-            pending.written.add(ready := b"".join(held_back))
-            if ready:
-                pending.reply.send(ready)
-        self._count(pending, events, gathered is not None)
-        if self._bill and not pending.ended:
-            await self._bill.done(pending)
+                pending.reply.begin(self._reply_headers(pending))
+            pending.answer_so_far.add(block := b"".join(buffered))
+            if block:
+                pending.reply.send(block)
+        self._count_tokens(pending, events, assembler is not None)
+        if self._usage_recorder and not pending.ended:
+            await self._usage_recorder.record_complete(pending)
         if self._answered(pending, "done"):
-            if gathered:
-                pending.reply.send_whole(200, gathered.whole(), {**self._headers(pending), **JSON})
+            if assembler:
+                pending.reply.send_whole(
+                    200, assembler.completion(), {**self._reply_headers(pending), **JSON}
+                )
             else:
                 pending.reply.end(b"data: [DONE]\n\n")
         with contextlib.suppress(TimeoutError, OSError, HttpError):
-            async with asyncio.timeout(REST_WITHIN):
-                await connection.rest()  # a whole answer's connection can be used again
+            async with asyncio.timeout(LAST_BYTES_TIMEOUT):
+                await connection.rest()  # the connection can be reused after a complete answer
         return Observation.WRITTEN, codec.kept(events.usage)
 
-    def _count(self, pending: ChatRequest, events: codec.Events, gathered: bool) -> None:
-        """Answer tokens of a leg that came to its end: by the engine's own word, else by its events."""
-        told = events.usage.completion_tokens if events.usage else 0
-        written = events.tokens if gathered else pending.written.settle().tokens - pending.before
-        pending.made += told or written
-        pending.sent_tokens = told or written if gathered or not pending.legs else pending.written.tokens
-        pending.kept = codec.kept(events.usage) or pending.kept
+    def _count_tokens(self, pending: PendingChatRequest, events: codec.Events, whole: bool) -> None:
+        """Counts the answer tokens of a completed stream: as its engine reports, else by its events."""
+        reported = events.usage.completion_tokens if events.usage else 0
+        streamed = (
+            events.tokens if whole else pending.answer_so_far.settle().tokens - pending.tokens_before_resume
+        )
+        pending.generated_tokens += reported or streamed
+        pending.delivered_tokens = (
+            reported or streamed if whole or not pending.resumes else pending.answer_so_far.tokens
+        )
+        pending.cached_prompt_tokens = codec.kept(events.usage) or pending.cached_prompt_tokens
 
-    def _begin(self, pending: ChatRequest, attempt: ChatAttempt, limit: asyncio.Timeout) -> None:
+    def _begin_stream(
+        self, pending: PendingChatRequest, attempt: ChatAttempt, timeout: asyncio.Timeout
+    ) -> None:
         at = now()
-        pending.begun, pending.handle = True, None
+        pending.begun, pending.state_handle = True, None
         pending.guard.fetched(attempt, at)
         self._releases.look_at(pending.guard)
-        self.router.on_begun(pending.id, attempt.number, at - attempt.sent_at, pending.asked.streamed)
-        if pending.legs:
+        self.router.on_begun(pending.id, attempt.number, at - attempt.sent_at, pending.request.streamed)
+        if pending.resumes:
             self.resumptions.settled(pending.serial)
-            self.metrics.gap(at - pending.broken_at)
-            self.metrics.broken(pending.cause, "resumed")
+            self.metrics.observe_resume_gap(at - pending.broken_at)
+            self.metrics.count_broken(pending.break_cause, "resumed")
             self._log.info(
                 "stream resumed",
                 req=pending.name,
-                cause=pending.cause,
+                cause=pending.break_cause,
                 engine=attempt.engine,
                 gap_us=at - pending.broken_at,
-                written=pending.written.tokens,
-                times=pending.legs,
-                read_anew=pending.asked.prompt + pending.written.tokens,
+                written=pending.answer_so_far.tokens,
+                times=pending.resumes,
+                read_anew=pending.request.prompt_tokens + pending.answer_so_far.tokens,
             )
         else:
-            pending.first_at = at
-            self.metrics.first(pending.asked.group, at - pending.taken_at)
-        if pending.asked.streamed and not pending.ended:
-            limit.reschedule(None)
+            pending.first_text_at = at
+            self.metrics.observe_first_token(pending.request.request_class, at - pending.accepted_at)
+        if pending.request.streamed and not pending.ended:
+            timeout.reschedule(None)
             self._running_streams[pending.serial] = pending
             self.stall_detector.begun(pending.serial, attempt.engine, at)
             if not pending.reply.begun:
-                pending.reply.begin(self._headers(pending))
+                pending.reply.begin(self._reply_headers(pending))
 
-    def _over(
+    def _finish_attempt(
         self,
-        pending: ChatRequest,
+        pending: PendingChatRequest,
         attempt: ChatAttempt,
         observation: Observation,
-        note: int,
+        cached_tokens: int,
         report: LoadReport | None,
     ) -> None:
-        """Tells how an attempt ended. A stream that broke in front of its client goes to the rescue, or ends
-        with an error event."""
-        ending, mark = ENDINGS[observation]
-        if observation is Observation.OUT_OF_TIME and pending.begun and pending.asked.streamed:
-            observation, (ending, mark) = Observation.STALLED, ENDINGS[Observation.STALLED]
+        """Reports the outcome of an attempt. A stream that broke in front of its client is resumed elsewhere,
+        or ends with an error event."""
+        outcome, default_note = ENDINGS[observation]
+        if observation is Observation.OUT_OF_TIME and pending.begun and pending.request.streamed:
+            observation, (outcome, default_note) = Observation.STALLED, ENDINGS[Observation.STALLED]
             self._log.error(
-                "stream stalled: ended by the last guard", req=pending.name, engine=attempt.engine
+                "stream stalled: ended by the stalled_for limit", req=pending.name, engine=attempt.engine
             )
         self._ended(pending, attempt, observation)
-        pending.trail.append(f"{attempt.engine}:{observation.name.lower()}")
-        self.metrics.forwarded(ending)
+        pending.attempt_history.append(f"{attempt.engine}:{observation.name.lower()}")
+        self.metrics.count_attempt(outcome)
         self._running_streams.pop(pending.serial, None)
         self.stall_detector.ended(pending.serial)
-        waits = False
-        if pending.begun and ending is not Ending.DONE:
-            if not pending.asked.streamed:
-                pending.begun = False  # nothing of it has reached the client
-                pending.made += attempt.tokens
+        awaits_resume = False
+        if pending.begun and outcome is not Ending.DONE:
+            if not pending.request.streamed:
+                pending.begun = False  # the client has received nothing of it
+                pending.generated_tokens += attempt.answer_tokens
             elif not pending.ended:
-                waits = self._broken(pending, attempt, observation)
-            else:  # its client left
-                pending.made += pending.written.settle().tokens - pending.before
-                pending.sent_tokens = pending.written.tokens
-        final = ending is Ending.DONE or pending.ended != "" or waits
+                awaits_resume = self._on_stream_broken(pending, attempt, observation)
+            else:  # the client has disconnected
+                pending.generated_tokens += (
+                    pending.answer_so_far.settle().tokens - pending.tokens_before_resume
+                )
+                pending.delivered_tokens = pending.answer_so_far.tokens
+        final = outcome is Ending.DONE or pending.ended != "" or awaits_resume
         with self._telling(pending):
             self.router.on_ended(
                 pending.id,
                 attempt.number,
                 attempt.engine,
-                ending,
+                outcome,
                 now() - attempt.sent_at,
-                note or mark,
+                cached_tokens or default_note,
                 final,
                 report,
             )
         if pending.ended and pending.attempt is None:
-            self.free_state(pending.id)  # guards rule 5 where the module has forgotten the request
+            self.free_state(pending.id)  # the module may have forgotten the request: its state must not leak
         self._forget(pending)
-        if waits:
-            self._place()
+        if awaits_resume:
+            self._place_broken_streams()
 
     # Releases and probes.
 
     async def _ask_to_release(self, guard: RequestGuard) -> int:
-        """Asks every engine that may hold a state; what was asked first tells what the answers prove."""
-        asked = [self._ask_holder(engine, f"{guard.request}.{n}") for n, engine in guard.holders.items()]
-        return min(await asyncio.gather(*asked), default=0)
+        """Asks every engine that may hold a state to release it.
+
+        The answers prove only that the state was released as of the earliest time one of them was asked.
+        """
+        releases = [self._release_at(engine, f"{guard.request}.{n}") for n, engine in guard.holders.items()]
+        return min(await asyncio.gather(*releases), default=0)
 
-    async def _ask_holder(self, engine: str, attempt: str) -> int:
-        """When a release that was answered was sent, 0 if none was. The second one goes on a connection of
-        its own: a kept one may be silent."""
+    async def _release_at(self, engine: str, attempt: str) -> int:
+        """Returns when the release that was answered was sent; 0 if none was answered. The second attempt
+        uses a new connection, since a pooled one may be dead."""
         link = self.endpoints[engine].link
         for fresh in (False, True):
-            asked_at = now()
-            if await link.ask(codec.release_req(link.address, attempt), RELEASE_WITHIN, fresh):
-                return asked_at
+            sent_at = now()
+            if await link.ask(codec.release_req(link.address, attempt), RELEASE_TIMEOUT, fresh):
+                return sent_at
         self.metrics.releases_lost.inc()
         return 0
 
     async def _is_answered(self, engine: str, guard: RequestGuard) -> bool:
         link = self.endpoints[engine].link
-        return await link.ask(codec.probe_req(link.address), RUNS_WITHIN, fresh=True) is not None
+        return await link.ask(codec.probe_req(link.address), LIVENESS_TIMEOUT, fresh=True) is not None
 
     async def _probe(self, engine: str) -> None:
         link = self.endpoints[engine].link
-        answer = await link.ask(codec.probe_req(link.address), ASK_WITHIN)
+        answer = await link.ask(codec.probe_req(link.address), PROBE_TIMEOUT)
         self.router.on_probed(engine, codec.load_report(answer[0].headers) if answer else None)
 
     # The end of a request.
 
-    def _headers(self, pending: ChatRequest) -> dict[str, str]:
+    def _reply_headers(self, pending: PendingChatRequest) -> dict[str, str]:
         return {"x-request-id": pending.name}
 
-    def _answered(self, pending: ChatRequest, ended: str) -> bool:
+    def _answered(self, pending: PendingChatRequest, ended: str) -> bool:
         if not super()._answered(pending, ended):
             return False
         pending.ended_at = now()
-        self.metrics.ended(pending.asked.group, ended)
-        target = self._groups[pending.asked.group].target_of(pending.asked.prompt)
-        late = pending.asked.streamed and pending.first_at - pending.taken_at > target
+        self.metrics.count_answer(pending.request.request_class, ended)
+        target = self._groups[pending.request.request_class].target_of(pending.request.prompt_tokens)
+        late = pending.request.streamed and pending.first_text_at - pending.accepted_at > target
         if ended != "left":
-            self.lately.add(now(), ended == "pushed back", ended != "done" or late)
+            self.recent_answers.add(now(), ended == "pushed back", ended != "done" or late)
         return True
 
-    def _forget(self, pending: ChatRequest) -> bool:
+    def _forget(self, pending: PendingChatRequest) -> bool:
         if not super()._forget(pending):
             return False
-        if self._bill:
-            self._bill.over(pending)
-        asked = pending.asked
+        if self._usage_recorder:
+            self._usage_recorder.record_ended(pending)
+        request = pending.request
         self._log.info(
             "req",
             req=pending.name,
-            client_id=asked.client_id,
-            group=asked.group,
-            tenant=asked.tenant,
+            client_id=request.client_id,
+            group=request.request_class,
+            tenant=request.tenant,
             ended=pending.ended,
-            took_us=pending.ended_at - pending.taken_at,
-            first_us=pending.first_at - pending.taken_at if pending.first_at else None,
-            prompt=asked.prompt,
-            forwards=pending.trail,
+            took_us=pending.ended_at - pending.accepted_at,
+            first_us=pending.first_text_at - pending.accepted_at if pending.first_text_at else None,
+            prompt=request.prompt_tokens,
+            forwards=pending.attempt_history,
         )
         return True
 
     def abort_all(self) -> None:
-        """The stop's own time is over: what is left is aborted, as loudly as can be."""
+        """Fails all pending requests once the time limit of the stop is over, and logs each as an error."""
         for pending in list(self.pending_requests.values()):
-            self._log.error("aborted by the stop", req=pending.name)
+            self._log.error("failed: not finished before the time limit of the stop", req=pending.name)
             if self._answered(pending, "aborted"):
                 if pending.reply.begun:
-                    pending.reply.end(chat.error_event("stopping", "this router stops"))
+                    pending.reply.end(chat.error_event("stopping", "this router is stopping"))
                 else:
-                    pending.reply.send_whole(502, chat.error(502, "stopping", "aborted: this router stops"))
+                    pending.reply.send_whole(
+                        502, chat.error(502, "stopping", "failed: this router is stopping")
+                    )
                 self.router.on_expired(pending.id)
             if pending.attempt:
                 self.cancel(pending.id, pending.attempt.number)
--- a/lifthead/daemon/metrics.py
+++ b/lifthead/daemon/metrics.py
@@ -1,58 +1,85 @@
-"""What a router measures of itself for operators (Prometheus). Nothing is decided from it."""
+"""Prometheus metrics of one router, for operators. No decision depends on them."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 from lifthead.interface import Ending
 
-SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32)
+BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32)
 
 
 class Metrics:
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        kind = {"registry": self.registry}
-        self._taken = Counter("lifthead_reqs_taken", "Reqs taken", ["group"], **kind)
-        self._ended = Counter("lifthead_reqs_ended", "Reqs by final answer", ["group", "ended"], **kind)
-        self._forwards = Counter("lifthead_forwards", "Forwards by ending", ["ending"], **kind)
-        self._first = Histogram(
-            "lifthead_first_token_seconds", "Taken to first text", ["group"], buckets=SECONDS, **kind
-        )
-        self._resumed = Counter(
+        registered = {"registry": self.registry}
+        self._accepted = Counter("lifthead_reqs_taken", "Requests accepted", ["group"], **registered)
+        self._answers = Counter(
+            "lifthead_reqs_ended", "Requests by final answer", ["group", "ended"], **registered
+        )
+        self._attempts = Counter("lifthead_forwards", "Attempts by outcome", ["ending"], **registered)
+        self._first_token = Histogram(
+            "lifthead_first_token_seconds",
+            "Time from acceptance to the first text",
+            ["group"],
+            buckets=BUCKETS,
+            **registered,
+        )
+        self._broken_streams = Counter(
             "lifthead_streams_broken",
-            "Broken streams, what became of them",
+            "Broken streams, by cause and result",
             ["cause", "became"],
-            **kind,
+            **registered,
+        )
+        self._resume_gap = Histogram(
+            "lifthead_resume_gap_seconds",
+            "Time from a broken stream to its first new text",
+            buckets=BUCKETS,
+            **registered,
+        )
+        self.recomputed_tokens = Counter(
+            "lifthead_tokens_read_anew", "Tokens prefilled again for resumed streams", **registered
+        )
+        self.streams_waiting = Gauge(
+            "lifthead_streams_waiting", "Broken streams that wait to be resumed", **registered
+        )
+        self.releases_lost = Counter(
+            "lifthead_releases_lost", "Releases of held states without an answer", **registered
         )
-        self._gap = Histogram("lifthead_resume_gap_seconds", "Break to new text", buckets=SECONDS, **kind)
-        self.read_anew = Counter("lifthead_tokens_read_anew", "Tokens read again for resumes", **kind)
-        self.waiting = Gauge("lifthead_streams_waiting", "Broken streams that wait for a new place", **kind)
-        self.releases_lost = Counter("lifthead_releases_lost", "Unanswered asks to let a state go", **kind)
         self.violations = Counter(
-            "lifthead_invariant_violations", "Broken invariants, by rule", ["rule"], **kind
+            "lifthead_invariant_violations", "Violated invariants, by rule", ["rule"], **registered
+        )
+        self.lost_entries = Counter(
+            "lifthead_entries_lost", "Ledger entries that could not be written", **registered
+        )
+        self.loop_lag = Gauge(
+            "lifthead_loop_lag_seconds", "Longest delay of the event loop in the last second", **registered
+        )
+        self.pending_requests = Gauge("lifthead_reqs_in_hand", "Pending requests", **registered)
+        self.weight = Gauge(
+            "lifthead_weight_percent",
+            "Share of its usual traffic that the router asks of its balancer",
+            **registered,
+        )
+        self.list_age = Gauge(
+            "lifthead_list_age_seconds", "Time since the last list of engines", **registered
         )
-        self.unbilled = Counter("lifthead_entries_lost", "Ledger entries that could not be written", **kind)
-        self.lag = Gauge("lifthead_loop_lag_seconds", "Longest stall of the loop in the last second", **kind)
-        self.in_hand = Gauge("lifthead_reqs_in_hand", "Reqs in hand", **kind)
-        self.weight = Gauge("lifthead_weight_percent", "Traffic wanted from balancers", **kind)
-        self.list_age = Gauge("lifthead_list_age_seconds", "Since the list of engines last came", **kind)
 
-    def taken(self, group: str) -> None:
-        self._taken.labels(group).inc()
+    def count_accepted(self, request_class: str) -> None:
+        self._accepted.labels(request_class).inc()
 
-    def ended(self, group: str, ended: str) -> None:
-        self._ended.labels(group, ended).inc()
+    def count_answer(self, request_class: str, ended: str) -> None:
+        self._answers.labels(request_class, ended).inc()
 
-    def forwarded(self, ending: Ending) -> None:
-        self._forwards.labels(ending.value).inc()
+    def count_attempt(self, outcome: Ending) -> None:
+        self._attempts.labels(outcome.value).inc()
 
-    def first(self, group: str, took: int) -> None:
-        self._first.labels(group).observe(took / 1e6)
+    def observe_first_token(self, request_class: str, took: int) -> None:
+        self._first_token.labels(request_class).observe(took / 1e6)
 
-    def broken(self, cause: str, became: str) -> None:
-        self._resumed.labels(cause, became).inc()
+    def count_broken(self, cause: str, result: str) -> None:
+        self._broken_streams.labels(cause, result).inc()
 
-    def gap(self, took: int) -> None:
-        self._gap.observe(took / 1e6)
+    def observe_resume_gap(self, took: int) -> None:
+        self._resume_gap.observe(took / 1e6)
 
-    def page(self) -> bytes:
+    def render(self) -> bytes:
         return generate_latest(self.registry)
--- a/lifthead/daemon/requests.py
+++ b/lifthead/daemon/requests.py
@@ -1,62 +1,63 @@
-"""What the daemon's host knows of a request, of its attempt in flight and of an engine, beside what any host
-does."""
+"""The daemon's records of a request, its attempt in flight and an engine; they extend lifthead/hosting.py."""
 
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
 from lifthead import hosting
-from lifthead.chat.codec import Asked
+from lifthead.chat.codec import ClientRequest
 from lifthead.resume.splice import Written
 
 
 @dataclass(slots=True, eq=False)
 class ChatAttempt(hosting.AttemptInFlight):
-    """An attempt that is under way at an engine."""
+    """An attempt that is in flight at an engine."""
 
-    lost: str = ""  # why its stream is given up, though nobody left
-    tokens: int = 0  # answer tokens so far
+    abandon_cause: str = ""  # why the router gives up its stream while the client is still there
+    answer_tokens: int = 0  # received so far
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class ChatRequest(hosting.PendingRequest):
-    """A request that was accepted and whose attempts are not all over. The module knows it by another id each
-    time that its stream is placed again."""
+class PendingChatRequest(hosting.PendingRequest):
+    """An accepted request that has no final answer yet, or still has an attempt in flight.
 
-    serial: int  # this router's, once and for all
+    `id` is its name to the decision module and changes with each resume of its stream.
+    """
+
+    serial: int  # unique in this process, never changes
     name: str
-    asked: Asked
-    taken_at: int
-    handle: Any = None  # of the state that waits at a prefill engine
-    first_at: int = 0
-    sent: int = 0  # attempts, however often it was placed
-    body: dict[str, Any] = field(default_factory=dict)  # of what is sent to engines now
-    written: Written = field(default_factory=Written)
-    legs: int = 0  # times that the stream was placed again
+    request: ClientRequest
+    accepted_at: int
+    state_handle: Any = None  # of the held state at a prefill engine
+    first_text_at: int = 0
+    attempts_sent: int = 0  # over all resumes
+    engine_body: dict[str, Any] = field(default_factory=dict)  # the JSON body that engines get now
+    answer_so_far: Written = field(default_factory=Written)
+    resumes: int = 0  # times that its stream was resumed
     broken_at: int = 0
-    cause: str = ""  # of the last break
-    before: int = 0  # answer tokens that were written when it was placed last
-    sent_tokens: int = 0  # answer tokens that the client was sent
-    made: int = 0  # ... and that engines made, as far as their streams showed
-    kept: int = 0  # prompt tokens that the engine which read last found kept
-    read_anew: int = 0
+    break_cause: str = ""  # of the last break
+    tokens_before_resume: int = 0  # answer tokens that the client had at the last break
+    delivered_tokens: int = 0  # answer tokens that the client was sent
+    generated_tokens: int = 0  # answer tokens that engines generated, as far as their streams showed
+    cached_prompt_tokens: int = 0  # prompt tokens that the last prefill found in the prefix cache
+    recomputed_tokens: int = 0  # tokens that were prefilled again for resumes
     billed: bool = False
-    ran: tuple[str, int] = ("", 0)  # where the broken stream ran, and when it was sent there
+    broken_attempt: tuple[str, int] = ("", 0)  # engine and sending time of the attempt whose stream broke
     ended_at: int = 0
-    trail: list[str] = field(default_factory=list)
+    attempt_history: list[str] = field(default_factory=list)  # ENGINE:OBSERVATION of each attempt
 
 
 @dataclass(slots=True, eq=False)
 class ChatEndpoint(hosting.Endpoint):
     """An engine as the daemon knows it."""
 
-    drain_deadline: int = 0  # on this router's clock, 0: no limit
+    drain_deadline: int = 0  # on this machine's monotonic clock; 0: no limit
 
 
 class UsageRecorder(Protocol):
-    """Who writes down what a request has used (lifthead/ledger/)."""
+    """Records what each request has used (lifthead/ledger/)."""
 
-    async def done(self, pending: ChatRequest) -> None:
-        """The answer is whole but for its end; returns once that may be sent."""
+    async def record_complete(self, pending: PendingChatRequest) -> None:
+        """The answer is complete except for its end; returns once the end may be sent."""
 
-    def over(self, pending: ChatRequest) -> None:
-        """The client has had the end of the answer."""
+    def record_ended(self, pending: PendingChatRequest) -> None:
+        """The request has ended, in whatever way."""
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -1,4 +1,4 @@
-"""Starts one router process, and stops it without losing a req that it has taken."""
+"""Starts one router process, and stops it without losing a request that it has accepted."""
 
 import asyncio
 import contextlib
@@ -18,13 +18,13 @@
 import structlog
 
 from lifthead.chat import codec
-from lifthead.chat.codec import BadReqError, Door
+from lifthead.chat.codec import BadRequestError, ChatApi
 from lifthead.chat.server import ClientConnections, Reply
 from lifthead.control import Router
 from lifthead.daemon.billing import Billing
 from lifthead.daemon.host import Host, now
 from lifthead.daemon.metrics import Metrics
-from lifthead.daemon.views import engine_views, work_at_engines
+from lifthead.daemon.views import engine_views, work_by_engine
 from lifthead.deployment.derive import deployment
 from lifthead.deployment.fleet import EngineSpec, Fleet
 from lifthead.engines.codec import ListedEngine, ListNews
@@ -42,10 +42,10 @@
 from lifthead.members.view import View
 from lifthead.members.weight import Weight, wish
 
-BACKLOG = 4096
-LAG_EVERY = 0.05
-NO_FILE = {"error": "this router follows no file of engines, expected --engines FILE at its start"}
-READY_WITHIN = 20.0  # seconds for a new process that takes a running one's sockets
+BACKLOG = 4096  # of the listening_sockets sockets
+LAG_INTERVAL = 0.05  # seconds between samples of the event loop's delay
+NO_ENGINE_FILE = {"error": "this router watches no file of engines: start it with --engines FILE"}
+READY_TIMEOUT = 20.0  # seconds for a new process to get ready before it takes over sockets
 
 
 class Daemon:
@@ -57,48 +57,50 @@
         log: Any,
         tasks: asyncio.TaskGroup,
         run_dir: Path,
-        decide: Callable[..., Router] = Router,
+        make_router: Callable[..., Router] = Router,
     ) -> None:
         self.fleet, self.spec, self.log = fleet, fleet.routers[name], log
         self.metrics = Metrics()
-        self.door = Door(fleet)
+        self.api = ChatApi(fleet)
         start = deployment(fleet, name, seed)
-        resumes = fleet.rules.resume
-        self.ledger, self.quota, bill = None, None, None
+        resume_enabled = fleet.rules.resume
+        self.ledger, self.quota, billing = None, None, None
         if fleet.ledger:
             directory = Path(fleet.ledger.directory or run_dir / f"ledger-{name}")
-            lost = self.metrics.unbilled.inc
+            lost = self.metrics.lost_entries.inc
             self.ledger = Keeper(open_journal(directory), fleet.ledger, log, lost)
             budgets = {each.tenant: Budget(each.tokens, each.soft) for each in fleet.budgets.values()}
             self.quota = Quota(budgets, len(fleet.routers))
-            bill = Billing(self.ledger, self.quota)
-            bill.take_up(list(budgets))
-        self.billing = bill
+            billing = Billing(self.ledger, self.quota)
+            billing.set_tenants(list(budgets))
+        self.billing = billing
         self.view = View()
         self.weight = Weight(random.Random(seed))
         self.registry: Roster | None = None
-        self.following: asyncio.Task | None = None  # the watched file of engines
+        self.file_watch: asyncio.Task | None = None
         self.drains = Drains(start.roles)
         self._drains_file = run_dir / f"operator-{name}.json"
-        if self._drains_file.exists():  # what an operator drained stays so over a restart
+        if self._drains_file.exists():  # an operator's drains outlast a restart
             self.drains.word = msgspec.json.decode(self._drains_file.read_bytes(), type=Word)
-        self.host = Host(name, start, fleet.limits, tasks, self.metrics, log, resumes, bill, decide)
-        self.clients = ClientConnections(fleet.limits, self.answer, codec.error)
+        self.host = Host(
+            name, start, fleet.limits, tasks, self.metrics, log, resume_enabled, billing, make_router
+        )
+        self.clients = ClientConnections(fleet.limits, self.handle, codec.error)
         self.stopping = asyncio.Event()
-        self.refusing = self.drained = self.handed = False
+        self.refusing_requests = self.operator_drain = self.handed_over = False
         self._list_file, self._list_changed = run_dir / f"list-{name}.json", False
         self.started_at = now()
         self.addresses: dict[str, str] = {}
 
-    # Which engines there are.
+    # The sources of the list of engines.
 
-    def on_file(self, text: str) -> None:
-        """The watched file of engines has changed."""
+    def on_file_change(self, text: str) -> None:
+        """Handles a change of the watched file of engines."""
         assert self.registry
         outcome = self.registry.offer(text, "engines")
-        say = self.log.info if outcome.taken else self.log.error
-        say(
-            "file of engines",
+        log = self.log.info if outcome.taken else self.log.error
+        log(
+            "file of engines changed",
             taken=outcome.taken,
             why=outcome.why,
             digest=outcome.digest,
@@ -110,51 +112,50 @@
 
     def publish_file(self) -> None:
         assert self.registry
-        self.on_source("file", of_specs(self.registry.now.engines), True)
+        self.on_source_update("file", listed_engines(self.registry.now.engines), True)
 
-    def on_push(self, news: ListNews) -> None:
-        self.on_source("push", news.engines, news.whole)
+    def on_push(self, update: ListNews) -> None:
+        self.on_source_update("push", update.engines, update.whole)
         self._list_changed = True
 
     async def persist_list(self) -> None:
-        """Keeps the last pushed list on the disk; goes by it at the start if no push comes."""
-        kept, started = None, now()
+        """Stores the last pushed list on disk; starts from the stored one if no list is pushed in time."""
+        stored, started = None, now()
         with contextlib.suppress(OSError, msgspec.DecodeError):
-            kept = msgspec.json.decode(self._list_file.read_bytes(), type=last.Last)
+            stored = msgspec.json.decode(self._list_file.read_bytes(), type=last.Last)
         while True:
             await asyncio.sleep(0.25)
             wall = time.time_ns() // 1000
-            if kept and last.due(kept, now() - started, self.host.list_received_at > 0, wall):
+            if stored and last.due(stored, now() - started, self.host.list_received_at > 0, wall):
                 self.log.warning(
-                    "no list of engines is pushed: by the last one", age_s=(wall - kept.at) / 1e6
+                    "no list of engines was pushed: using the stored one", age_s=(wall - stored.at) / 1e6
                 )
-                self.view.tell("push", kept.engines, True, now() - (wall - kept.at))
+                self.view.tell("push", stored.engines, True, now() - (wall - stored.at))
                 self.publish_changes()
             if self._list_changed:
                 engines = self.view.engines_of("push")
-                # A full disk must not end a router that serves; the list is kept once there is room.
+                # A utilization disk must not stop a running router; the list is stored once there is space.
                 with contextlib.suppress(OSError):
                     replace_file(self._list_file, msgspec.json.encode(last.Last(engines, wall)))
                     self._list_changed = False
 
-    def on_source(self, source: str, engines: list[ListedEngine], whole: bool) -> None:
-        """A source spoke: what of it changes the view is told to the module."""
-        kept_out = self.view.tell(source, engines, whole, now())
-        if kept_out:
-            self.log.error("a list of engines is kept out", source=source, why=kept_out)
+    def on_source_update(self, source: str, engines: list[ListedEngine], whole: bool) -> None:
+        """Merges the list of one source into the view and passes the changes to the module."""
+        rejection = self.view.tell(source, engines, whole, now())
+        if rejection:
+            self.log.error("list of engines rejected", source=source, why=rejection)
         self.publish_changes()
 
     def publish_changes(self) -> None:
         changes = self.view.changes(now())
-        said = self.drains.word
+        operator_drains = self.drains.word
         if any(
-            (engine.name in said.asked and engine.readiness == "ready")
-            or engine.started_at < said.started.get(engine.name, 0)
+            (engine.name in operator_drains.asked and engine.readiness == "ready")
+            or engine.started_at < operator_drains.started.get(engine.name, 0)
             for engine in changes
         ):
-            self.drains.tell(
-                self.view, now()
-            )  # named after the drain was asked: held before the module hears of it
+            # An engine listed after its drain was requested drains before the module sees it.
+            self.drains.tell(self.view, now())
             drained = {engine.name: engine for engine in self.view.changes(now())}
             changes = [drained.pop(engine.name, engine) for engine in changes] + list(drained.values())
         if changes or self.view.members:
@@ -163,67 +164,73 @@
     def condition(self) -> health.Condition:
         return health.Condition(
             listed=self.host.list_received_at > 0,
-            writers=self.host.ready_writers,
+            writers=self.host.ready_decode_engines,
             stopping=self.stopping.is_set(),
-            drained=self.drained,
+            drained=self.operator_drain,
             weight=self.weight.percent,
         )
 
-    async def answer(self, message: Message, reply: Reply) -> None:
-        """One HTTP req of a client."""
+    async def handle(self, message: Message, reply: Reply) -> None:
+        """Serves one HTTP request of a client."""
         path = message.path.partition("?")[0]
         try:
             if path == "/v1/chat/completions":
                 if message.method != "POST":
-                    raise BadReqError(405, "method_not_allowed", "expected POST")
-                asked = self.door.asked(message)
-                most = asked.prompt + asked.max_out
-                if (why := self._closed()) is None and self.quota and not self.quota.take(asked.tenant, most):
-                    raise BadReqError(429, "insufficient_quota", f"tenant {asked.tenant} has used its budget")
+                    raise BadRequestError(405, "method_not_allowed", "expected POST")
+                request = self.api.parse(message)
+                reserved_tokens = request.prompt_tokens + request.max_answer_tokens
+                if (
+                    (why := self._refusal()) is None
+                    and self.quota
+                    and not self.quota.take(request.tenant, reserved_tokens)
+                ):
+                    raise BadRequestError(
+                        429, "insufficient_quota", f"tenant {request.tenant} has used its budget"
+                    )
                 if why is None:
-                    await self.host.take(asked, reply, self.host.waited(message))
-                else:  # never taken: no answer is owed later, and nothing was sent for it
+                    await self.host.accept(request, reply, self.host.waited(message))
+                else:  # not accepted: nothing was sent to an engine
                     fields = {"content-type": "application/json", "retry-after": "1", "retry-after-ms": "250"}
                     reply.send_whole(503, codec.error(503, "not_ready", why), fields)
             elif path == "/v1/models" and message.method == "GET":
-                self.door.tenant(message.headers)
-                reply.send_whole(200, self.door.model_list())
+                self.api.authenticate(message.headers)
+                reply.send_whole(200, self.api.model_list())
             elif path.startswith("/v1/models/") and message.method == "GET":
-                self.door.tenant(message.headers)
-                reply.send_whole(200, self.door.model(path.removeprefix("/v1/models/")))
+                self.api.authenticate(message.headers)
+                reply.send_whole(200, self.api.model(path.removeprefix("/v1/models/")))
             else:
-                raise BadReqError(404, "not_found", "expected /v1/chat/completions or /v1/models")
-        except BadReqError as problem:
+                raise BadRequestError(404, "not_found", "expected /v1/chat/completions or /v1/models")
+        except BadRequestError as problem:
             reply.send_whole(
-                problem.status, codec.error(problem.status, problem.code, problem.said, problem.param)
+                problem.status, codec.error(problem.status, problem.code, problem.message, problem.param)
             )
 
-    def _closed(self) -> str | None:
-        """Why no req can be taken now, None if one can."""
-        if self.refusing or self.drained:
-            return "this router drains"
+    def _refusal(self) -> str | None:
+        """Returns why no request can be accepted now; None if one can."""
+        if self.refusing_requests or self.operator_drain:
+            return "this router is draining"
         if not self.host.list_received_at:
             return "this router has no list of engines yet"
         if self.ledger and self.ledger.refuses:
             return "this router can't write its ledger"
         if len(self.host.pending_requests) >= self.fleet.limits.in_hand:
-            return "this router holds all that it may"
+            return "this router has reached its limit of pending requests"
         return None
 
-    # What operators ask.
+    # Questions of operators on the admin socket.
 
-    def answers(self) -> dict[str, admin.Answer]:
+    def admin_handlers(self) -> dict[str, admin.Answer]:
         return {
             "state": lambda _: self.state(),
             "engines": lambda _: engine_views(self.host),
             "reqs": lambda _: [
                 {
                     "req": pending.name,
-                    "group": pending.asked.group,
-                    "age_ms": (now() - pending.taken_at) // 1000,
+                    "group": pending.request.request_class,
+                    "age_ms": (now() - pending.accepted_at) // 1000,
                     "begun": pending.begun,
                     "at": pending.attempt.engine if pending.attempt else pending.guard.held_at,
-                    "forwards": pending.trail,
+                    "forwards": pending.attempt_history,
                 }
                 for pending in self.host.pending_requests.values()
             ],
@@ -242,7 +249,7 @@
     def state(self) -> dict[str, Any]:
         condition = self.condition()
         age = (now() - self.host.list_received_at) / 1e6 if self.host.list_received_at else None
-        ended, pushed_back, missed = self.host.lately.counts(now())
+        ended, pushed_back, missed = self.host.recent_answers.counts(now())
         return {
             "name": self.spec.name,
             "zone": self.spec.zone,
@@ -260,13 +267,13 @@
         }
 
     def _drain(self, question: dict[str, Any]) -> dict[str, Any]:
-        self.drained = not question.get("undo", False)
-        self.log.info("drain", on=self.drained, reqs=len(self.host.pending_requests))
+        self.operator_drain = not question.get("undo", False)
+        self.log.info("drain", on=self.operator_drain, reqs=len(self.host.pending_requests))
         return self.state()
 
     def _apply(self, question: dict[str, Any]) -> dict[str, Any]:
         if self.registry is None:
-            return NO_FILE
+            return NO_ENGINE_FILE
         if "text" in question:
             outcome = self.registry.offer(str(question["text"]), "engines", str(question.get("confirm", "")))
         else:
@@ -275,18 +282,18 @@
 
     def _rollback(self, question: dict[str, Any]) -> dict[str, Any]:
         if self.registry is None:
-            return NO_FILE
+            return NO_ENGINE_FILE
         return self._outcome(self.registry.rollback(int(question.get("to", 0))))
 
     def _drain_engines(self, question: dict[str, Any]) -> dict[str, Any]:
-        """Drains engines, takes that back, or with neither tells how far it is."""
-        # Limits are turned into this machine's own time by what the wall clock was ahead at the start.
+        """Drains engines or undoes that; without a selector only reports the progress."""
+        # The monotonic clock plus the offset of the wall clock at the start, which ignores later clock steps.
         wall = now() + self.host.starts.wall_ahead
-        before = copy.deepcopy(self.drains.word)
+        previous = copy.deepcopy(self.drains.word)
         try:
             if "selector" in question:
-                told = [member.told for member in self.view.members.values()]
-                names = chosen(str(question["selector"]), told)
+                listed = [member.told for member in self.view.members.values()]
+                names = chosen(str(question["selector"]), listed)
                 if question.get("undo"):
                     self.drains.undo(names, self.view, now(), int(question.get("started_at", 0)))
                 elif (why := self.drains.refusal(names, self.view)) and not question.get("force"):
@@ -300,9 +307,9 @@
         except SelectorError as problem:
             return {"taken": False, "why": str(problem), "engines": []}
         except OSError as problem:
-            self.drains.restore(before, self.view, now())
+            self.drains.restore(previous, self.view, now())
             return {"taken": False, "why": str(problem), "engines": []}
-        return {"taken": True, "why": "", "engines": self.drains.progress(work_at_engines(self.host), wall)}
+        return {"taken": True, "why": "", "engines": self.drains.progress(work_by_engine(self.host), wall)}
 
     def _outcome(self, outcome: Outcome) -> dict[str, Any]:
         if outcome.taken:
@@ -314,42 +321,46 @@
         self.stopping.set()
         return self.state()
 
-    async def settle(self) -> None:
-        """Engines that flapped come back once they have been quiet."""
+    async def readmit_flapped_engines(self) -> None:
+        """Readmits engines that flapped once they have been stable for long enough."""
         while True:
             await asyncio.sleep(0.5)
             if any(member.went and member.told.readiness != "ready" for member in self.view.members.values()):
                 self.publish_changes()
 
-    async def measure(self) -> None:
-        """The loop's own lag, and metrics that are read from here."""
+    async def sample_metrics(self) -> None:
+        """Samples the delay of the event loop and updates the metrics that depend on the daemon's state."""
         loop = asyncio.get_running_loop()
-        worst, lately, turn = 0.0, 0.0, 0
+        longest_lag, smoothed_lag, sample = 0.0, 0.0, 0
         while True:
-            then = loop.time()
-            await asyncio.sleep(LAG_EVERY)
-            lag = loop.time() - then - LAG_EVERY
-            worst, lately, turn = max(worst, lag), max(lag, lately * 0.9), turn + 1
-            self.metrics.in_hand.set(len(self.host.pending_requests))
-            if turn % 5 == 0:
-                full = len(self.host.pending_requests) / self.fleet.limits.in_hand
-                ended, pushed_back, _ = self.host.lately.counts(now())
+            slept_at = loop.time()
+            await asyncio.sleep(LAG_INTERVAL)
+            lag = loop.time() - slept_at - LAG_INTERVAL
+            longest_lag, smoothed_lag, sample = (
+                max(longest_lag, lag),
+                max(lag, smoothed_lag * 0.9),
+                sample + 1,
+            )
+            self.metrics.pending_requests.set(len(self.host.pending_requests))
+            if sample % 5 == 0:
+                utilization = len(self.host.pending_requests) / self.fleet.limits.in_hand
+                ended, pushed_back, _ = self.host.recent_answers.counts(now())
                 self.metrics.weight.set(
-                    self.weight.turn(now(), wish(full, int(lately * 1e6), ended, pushed_back))
+                    self.weight.turn(now(), wish(utilization, int(smoothed_lag * 1e6), ended, pushed_back))
                 )
-            if turn % 20 == 0:
-                self.metrics.lag.set(worst)
+            if sample % 20 == 0:
+                self.metrics.loop_lag.set(longest_lag)
                 self.metrics.list_age.set(
                     (now() - self.host.list_received_at) / 1e6 if self.host.list_received_at else -1
                 )
-                worst = 0.0
+                longest_lag = 0.0
                 if self.billing:
-                    for tenant, part in self.billing.shares().items():
-                        self.host.router.on_share(tenant, part)
+                    for tenant, share in self.billing.shares().items():
+                        self.host.router.on_share(tenant, share)
 
 
-def of_specs(specs: dict[str, EngineSpec]) -> list[ListedEngine]:
-    """The engines that settings or a file name, as the list's entries."""
+def listed_engines(specs: dict[str, EngineSpec]) -> list[ListedEngine]:
+    """Converts engines of the settings or of a file into list entries."""
     return [
         ListedEngine(spec.name, spec.address, spec.zone, spec.cell, spec.kind, spec.weight)
         for spec in specs.values()
@@ -363,77 +374,87 @@
     run_dir: Path,
     seed: int,
     log: Any,
-    decide: Callable[..., Router] = Router,
+    make_router: Callable[..., Router] = Router,
     engine_file: Path | None = None,
     take_over: bool = False,
 ) -> None:
-    """Runs the router until it is told to stop; returns once all that it had taken is answered. `decide`
-    takes the module's place where baselines are measured beside it."""
+    """Runs the router until it is stopped; returns once all accepted requests are answered.
+
+    `make_router` replaces the decision module where a benchmark compares it with a baseline.
+    """
     loop = asyncio.get_running_loop()
-    gc.freeze()  # what start-up made stays; a full collection would stall streams for nothing
+    gc.freeze()  # start-up objects live on; collecting them would only delay streams
     gc.set_threshold(5_000, 20, 100)
     spec, limits = fleet.routers[name], fleet.limits
     socket = Path(spec.admin) if spec.admin else run_dir / f"{name}.sock"
     socket.parent.mkdir(parents=True, exist_ok=True)
     handover_path = socket.with_suffix(".hand")
-    old = await asyncio.to_thread(Predecessor, handover_path, 3) if take_over else None
+    predecessor = await asyncio.to_thread(Predecessor, handover_path, 3) if take_over else None
     async with asyncio.TaskGroup() as tasks:
-        daemon = Daemon(fleet, name, seed, log, tasks, run_dir, decide)
+        daemon = Daemon(fleet, name, seed, log, tasks, run_dir, make_router)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, daemon.stopping.set)
-        service = [tasks.create_task(daemon.measure()), tasks.create_task(daemon.host.supervise_streams())]
+        background_tasks = [
+            tasks.create_task(daemon.sample_metrics()),
+            tasks.create_task(daemon.host.supervise_streams()),
+        ]
         if daemon.ledger:
-            service += [tasks.create_task(daemon.ledger.write()), tasks.create_task(daemon.ledger.export())]
+            background_tasks += [
+                tasks.create_task(daemon.ledger.write()),
+                tasks.create_task(daemon.ledger.export()),
+            ]
         if list_url:
-            service.append(
-                tasks.create_task(follow(list_url, name, daemon.on_push, daemon.host.on_list_lost, log))
+            background_tasks.append(
+                tasks.create_task(
+                    follow(list_url, name, daemon.on_push, daemon.host.on_list_unavailable, log)
+                )
             )
-            service.append(tasks.create_task(daemon.persist_list()))
+            background_tasks.append(tasks.create_task(daemon.persist_list()))
         if engine_file:
             store = Store(Directory(run_dir / f"engines-{name}"))
             daemon.registry = Roster(fleet, store)
             if daemon.registry.generation:
-                daemon.publish_file()  # the last good one: a restart does not begin with nothing
-            daemon.following = tasks.create_task(watch.follow(engine_file, daemon.on_file, log))
-            service.append(daemon.following)
+                daemon.publish_file()  # the last valid file, so that a restart has engines at once
+            daemon.file_watch = tasks.create_task(watch.follow(engine_file, daemon.on_file_change, log))
+            background_tasks.append(daemon.file_watch)
         elif not list_url:
-            daemon.on_source("settings", of_specs(fleet.engines), True)
-        service.append(tasks.create_task(daemon.settle()))
-        if old:
-            await _ready(daemon)
-            await asyncio.to_thread(old.go)
-        # Listening to none until the health side can speak: a balancer never finds a port that lies.
-        places = zip(
+            daemon.on_source_update("settings", listed_engines(fleet.engines), True)
+        background_tasks.append(tasks.create_task(daemon.readmit_flapped_engines()))
+        if predecessor:
+            await _wait_ready(daemon)
+            await asyncio.to_thread(predecessor.go)
+        # The health ports open first: a balancer that reaches the client port can already see the health.
+        listeners = zip(
             (
                 functools.partial(health.agent, daemon.condition),
-                functools.partial(health.pages, daemon.condition, daemon.metrics.page),
+                functools.partial(health.pages, daemon.condition, daemon.metrics.render),
                 daemon.clients.handle_connection,
             ),
             (spec.agent, spec.health, spec.listen),
-            old.sockets if old else (None, None, None),
+            predecessor.sockets if predecessor else (None, None, None),
             strict=True,
         )
-        servers = [await _listen(*place) for place in places]
+        servers = [await _start_server(*listener) for listener in listeners]
         daemon.addresses = {
-            "agent": _address(servers[0]),
-            "health": _address(servers[1]),
-            "base_url": f"http://{_address(servers[2])}/v1",
+            "agent": _address_of(servers[0]),
+            "health": _address_of(servers[1]),
+            "base_url": f"http://{_address_of(servers[2])}/v1",
         }
-        desk = await _desk(daemon, socket)
+        admin_server = await _start_admin_server(daemon, socket)
 
         def hand_over() -> None:
-            """Another process serves from here on: this one ends what it has, under a name of its own."""
-            for server in (*servers, desk):
+            """Stops listening, since another process serves from now on; this one finishes its requests."""
+            for server in (*servers, admin_server):
                 server.close()
             socket.unlink(missing_ok=True)
-            if daemon.following:  # one process keeps the generations
-                daemon.following.cancel()
-            daemon.handed = True
+            if daemon.file_watch:  # only one process may write the generations of the file
+                daemon.file_watch.cancel()
+            daemon.handed_over = True
             daemon.stopping.set()
 
-        if not daemon.ledger:  # a ledger has one writer: its router is stopped and started
-            listening = [server.sockets[0] for server in servers]
-            service.append(tasks.create_task(offer(handover_path, listening, hand_over)))
+        if not daemon.ledger:  # a ledger has a single writer, so its router is restarted instead
+            listening_sockets = [server.sockets[0] for server in servers]
+            background_tasks.append(tasks.create_task(offer(handover_path, listening_sockets, hand_over)))
         log.info("serving", router=name, pid=os.getpid(), admin=str(socket), **daemon.addresses)
         print(
             msgspec.json.encode(
@@ -443,15 +464,15 @@
         )
 
         await daemon.stopping.wait()
-        log.info("stopping", reqs=len(daemon.host.pending_requests), handed=daemon.handed)
-        if daemon.handed:
+        log.info("stopping", reqs=len(daemon.host.pending_requests), handed=daemon.handed_over)
+        if daemon.handed_over:
             socket = socket.with_stem(f"{socket.stem}-{os.getpid()}")
-            desk = await _desk(daemon, socket)
+            admin_server = await _start_admin_server(daemon, socket)
         else:
             handover_path.unlink(missing_ok=True)
-            if limits.stop_notice:  # time for balancers to read `drain`; reqs are still taken
+            if limits.stop_notice:  # time for balancers to see `drain`; requests are still accepted
                 await asyncio.sleep(limits.stop_notice / 1e6)
-            daemon.refusing = True
+            daemon.refusing_requests = True
             servers[2].close()
         daemon.clients.stop()
         try:
@@ -459,60 +480,62 @@
                 await daemon.host.empty.wait()
         except TimeoutError:
             daemon.host.abort_all()
-        await _quiet(daemon)
+        await _wait_quiet(daemon)
         if daemon.ledger:
             await daemon.ledger.close()
-        for task in service:
+        for task in background_tasks:
             task.cancel()
         daemon.host.close()
-        for server in (*servers, desk):
+        for server in (*servers, admin_server):
             server.close()
         socket.unlink(missing_ok=True)
         log.info("stopped", reqs=len(daemon.host.pending_requests))
 
 
-async def _ready(daemon: Daemon) -> None:
-    """Until the new process could serve; OSError if it can't within its time, and the old one goes on."""
+async def _wait_ready(daemon: Daemon) -> None:
+    """Waits until this process is ready to serve. OSError if it is not in time: the old process continues."""
     try:
-        async with asyncio.timeout(READY_WITHIN):
+        async with asyncio.timeout(READY_TIMEOUT):
             while not daemon.condition().ready:
                 await asyncio.sleep(0.02)
     except TimeoutError:
-        raise OSError(f"not ready after {READY_WITHIN:.0f} s: {daemon.condition().why}") from None
+        raise OSError(f"not ready after {READY_TIMEOUT:.0f} s: {daemon.condition().why}") from None
 
 
-async def _desk(daemon: Daemon, path: Path) -> asyncio.Server:
-    """The admin socket, for this user alone."""
+async def _start_admin_server(daemon: Daemon, path: Path) -> asyncio.Server:
+    """Opens the admin socket, which only this user can access."""
     path.unlink(missing_ok=True)
-    before = os.umask(0o077)
-    desk = await asyncio.start_unix_server(functools.partial(admin.serve, daemon.answers()), str(path))
-    os.umask(before)
-    return desk
+    previous = os.umask(0o077)
+    admin_server = await asyncio.start_unix_server(
+        functools.partial(admin.serve, daemon.admin_handlers()), str(path)
+    )
+    os.umask(previous)
+    return admin_server
 
 
-async def _quiet(daemon: Daemon) -> None:
-    """Waits briefly for connections to get their last bytes out, and for states to be let go of."""
+async def _wait_quiet(daemon: Daemon) -> None:
+    """Waits briefly for the last bytes of connections and for the release of held states."""
     for _ in range(40):
         if not daemon.clients.connections and not daemon.host.pending_requests:
             return
         await asyncio.sleep(0.05)
 
 
-async def _listen(handler: Any, address: str, taken: Any = None) -> asyncio.Server:
-    if taken:
-        return await asyncio.start_server(handler, sock=taken, backlog=BACKLOG)
+async def _start_server(handler: Any, address: str, taken_over: Any = None) -> asyncio.Server:
+    if taken_over:
+        return await asyncio.start_server(handler, sock=taken_over, backlog=BACKLOG)
     host, _, port = address.rpartition(":")
     return await asyncio.start_server(handler, host, int(port), backlog=BACKLOG)
 
 
-def _address(server: asyncio.Server) -> str:
+def _address_of(server: asyncio.Server) -> str:
     host, port = server.sockets[0].getsockname()[:2]
     return f"{host}:{port}"
 
 
 def configure_logging(path: str | None) -> Any:
-    """JSON lines to this file, else to standard error."""
-    out = open(path, "a", buffering=1) if path else None  # noqa: SIM115 - open as long as the process
+    """Logs JSON lines to the file, or to standard error."""
+    log_file = open(path, "a", buffering=1) if path else None  # noqa: SIM115 - open until the exit
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -522,7 +545,7 @@
                 lambda line, **_: msgspec.json.encode(line, enc_hook=str).decode()
             ),
         ],
-        logger_factory=structlog.PrintLoggerFactory(out or sys.stderr),
+        logger_factory=structlog.PrintLoggerFactory(log_file or sys.stderr),
         cache_logger_on_first_use=True,
     )
     return structlog.get_logger()
--- a/lifthead/daemon/views.py
+++ b/lifthead/daemon/views.py
@@ -1,4 +1,4 @@
-"""What operators may see of the engines: each as one router sees it."""
+"""The engines as one router sees them, for operators."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineView:
-    """One engine, as the admin socket tells of it."""
+    """One engine, as the admin socket shows it."""
 
     name: str
     address: str
@@ -28,21 +28,21 @@
     report_age_ms: int | None
 
 
-def work_at_engines(host: Hosting) -> dict[str, int]:
-    """Attempts in flight and states that wait to be fetched, by engine."""
-    found: dict[str, int] = {}
+def work_by_engine(host: Hosting) -> dict[str, int]:
+    """Counts attempts in flight and held states, by engine."""
+    work: dict[str, int] = {}
     for pending in host.pending_requests.values():
         engines = {pending.attempt.engine} if pending.attempt else set()
         if pending.guard.held_at:
             engines.add(pending.guard.held_at)
         for name in engines:
-            found[name] = found.get(name, 0) + 1
-    return found
+            work[name] = work.get(name, 0) + 1
+    return work
 
 
 def engine_views(host: Hosting) -> list[EngineView]:
-    """All engines that the decision module knows, by name."""
-    at, work = now(), work_at_engines(host)
+    """Returns all engines that the decision module knows, sorted by name."""
+    at, work = now(), work_by_engine(host)
     known = [(host.endpoints[name], host.router.engines.get(name)) for name in sorted(host.endpoints)]
     return [_view(endpoint, engine, at, work.get(engine.name, 0)) for endpoint, engine in known if engine]
 
