--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -1,6 +1,6 @@
-"""The `lifthead` command. Thin: each sub-command calls its package and prints what comes back.
+"""The `lifthead` command. Each sub-command calls its package and prints the result.
 
-Exit codes: 0 done; 1 the answer is no (a rule broken, a router dead); 2 bad use or bad settings.
+Exit codes: 0 success; 1 a negative result (a rule is broken, a router is dead); 2 wrong usage or settings.
 """
 
 import asyncio
@@ -26,10 +26,10 @@
 )
 app.add_typer(lab.app, name="lab")
 app.add_typer(ledger.app, name="ledger")
-RunDir = Annotated[Path, typer.Option("--run", help="Run directory: admin sockets and records.")]
-AsJson = Annotated[bool, typer.Option("--json", help="One JSON document, for scripts.")]
+RunDir = Annotated[Path, typer.Option("--run", help="Run directory, with the admin sockets and records.")]
+AsJson = Annotated[bool, typer.Option("--json", help="Print one JSON document, for scripts.")]
 DEFAULT_RUN = Path(".lifthead")
-STAGE = "stage.ctl"  # admin socket of `up`, beside the routers'
+TEST_FLEET_SOCKET = "stage.ctl"  # admin socket of `up`, in the run directory
 
 
 def main() -> None:
@@ -46,7 +46,7 @@
 
 @app.command()
 def check(file: Path, as_json: AsJson = False) -> None:
-    """Print what a settings script says, and the figures that follow from it."""
+    """Print the settings of a script and the values that are derived from them."""
     fleet = _read_settings(file)
     derived = {
         name: msgspec.to_builtins(derive.deployment(fleet, name, 0), enc_hook=int) for name in fleet.routers
@@ -55,7 +55,7 @@
         return print_json({"fleet": fleet, "derived": derived})
     for title, part in (
         ("engines", fleet.engines),
-        ("endpoint groups", fleet.groups),
+        ("request classes", fleet.groups),
         ("tenants", fleet.tenants),
         ("routers", fleet.routers),
     ):
@@ -69,7 +69,7 @@
             for key, value in next(iter(derived.values())).items()
             if not isinstance(value, dict)
         ],
-        "what a router starts with",
+        "derived settings of a router",
     )
     return None
 
@@ -78,22 +78,31 @@
 def serve(
     file: Path,
     router: Annotated[
-        str, typer.Option(help="Which router() of the file to be; the only one if left out.")
+        str, typer.Option(help="Which router() of the file to run; may be left out if there is only one.")
     ] = "",
     engine_list: Annotated[
-        str, typer.Option("--list", help="URL of a pushed list; else the file's engines.")
+        str,
+        typer.Option(
+            "--list", help="URL of a service that pushes the list of engines; default: the file's engines."
+        ),
     ] = "",
     engines_file: Annotated[
-        str, typer.Option("--engines", help="Watched file of engines, taken whole or not at all.")
+        str,
+        typer.Option(
+            "--engines", help="File of engines to watch; each version is applied whole or not at all."
+        ),
     ] = "",
     run: RunDir = DEFAULT_RUN,
-    log: Annotated[str, typer.Option(help="File for the log; else standard error.")] = "",
+    log: Annotated[str, typer.Option(help="File for the log; default: standard error.")] = "",
     take_over: Annotated[
-        bool, typer.Option("--take-over", help="Take a running router's sockets; it ends its streams.")
+        bool,
+        typer.Option(
+            "--take-over", help="Take over the sockets of a running router, which finishes its streams."
+        ),
     ] = False,
-    seed: Annotated[int, typer.Option(help="Seed of the decisions' chance; 0: drawn.")] = 0,
+    seed: Annotated[int, typer.Option(help="Seed of the random numbers in decisions; 0: a random seed.")] = 0,
 ) -> None:
-    """Run one router until SIGTERM; then answer all it holds and exit 0."""
+    """Run one router until SIGTERM; then finish its pending requests and exit 0."""
     from lifthead.daemon import serve as daemon
     from lifthead.ledger.keeper import LockedError
 
@@ -102,14 +111,14 @@
     if name not in fleet.routers:
         typer.echo(f"--router: expected one of {list(fleet.routers)}", err=True)
         raise typer.Exit(2)
-    out, drawn = daemon.configure_logging(log or None), seed or secrets.randbits(63)
+    logger, drawn_seed = daemon.configure_logging(log or None), seed or secrets.randbits(63)
     watched = Path(engines_file) if engines_file else None
     problems: list[str] = []
     try:
         asyncio.run(daemon.serve(
-            fleet, name, engine_list, run, drawn, out, engine_file=watched, take_over=take_over
+            fleet, name, engine_list, run, drawn_seed, logger, engine_file=watched, take_over=take_over
         ))  # fmt: skip
-    except* (LockedError, OSError) as group:  # a port or a ledger that another process has
+    except* (LockedError, OSError) as group:  # another process uses the port or the ledger
         problems = [str(problem) for problem in group.exceptions]
     if problems:
         typer.echo(f"{name}: {problems[0]}", err=True)
@@ -121,9 +130,9 @@
     file: Path,
     name: str,
     address: Annotated[
-        str, typer.Option(help="Where to listen; port 0: the system chooses.")
+        str, typer.Option(help="Address to listen on; with port 0 the system chooses a port.")
     ] = "127.0.0.1:0",
-    cold: Annotated[bool, typer.Option(help="Start cold.")] = False,
+    cold: Annotated[bool, typer.Option(help="Start with a cold engine.")] = False,
     record: Annotated[str, typer.Option(help="File for the traffic record.")] = "",
     seed: int = 1,
 ) -> None:
@@ -142,7 +151,7 @@
     asyncio.run(standin.run(fleet, name, address, cold, record or None, seed, say))
 
 
-def _ask(run: Path, question: dict[str, Any], only: str = "") -> dict[str, Any]:
+def _ask_routers(run: Path, question: dict[str, Any], only: str = "") -> dict[str, Any]:
     from lifthead.fleet import admin
 
     paths = {name: path for name, path in admin.sockets(run).items() if not only or name == only}
@@ -155,50 +164,50 @@
     return asyncio.run(admin.ask_all(paths, question))
 
 
-def _one(run: Path, name: str, question: dict[str, Any], as_json: bool) -> None:
-    said = _ask(run, question, name)[name]
-    if said is None:
-        typer.echo(f"{name}: dead, or it does not answer", err=True)
+def _ask_one(run: Path, name: str, question: dict[str, Any], as_json: bool) -> None:
+    answer = _ask_routers(run, question, name)[name]
+    if answer is None:
+        typer.echo(f"{name}: dead or not answering", err=True)
         raise typer.Exit(1)
-    print_json(said) if as_json else print_table([said], name)
+    print_json(answer) if as_json else print_table([answer], name)
 
 
 @app.command()
 def routers(run: RunDir = DEFAULT_RUN, as_json: AsJson = False) -> None:
-    """Each router and its state; exit 1 if one is dead."""
-    said = _ask(run, {"ask": "state"})
-    rows = [{"name": name, "state": "dead"} if one is None else one for name, one in said.items()]
+    """Show each router and its state; exit 1 if one is dead."""
+    answers = _ask_routers(run, {"ask": "state"})
+    rows = [{"name": name, "state": "dead"} if state is None else state for name, state in answers.items()]
     if as_json:
         print_json(rows)
     else:
         shown = ("name", "zone", "state", "reqs", "connections", "engines", "list_age_s", "pid", "base_url")
         print_table([{key: row.get(key) for key in shown} for row in rows], "routers")
-    if any(one is None for one in said.values()):
+    if any(state is None for state in answers.values()):
         raise typer.Exit(1)
 
 
 @app.command()
 def engines(
     run: RunDir = DEFAULT_RUN,
-    router: Annotated[str, typer.Option(help="Only this router's view.")] = "",
+    router: Annotated[str, typer.Option(help="Show only the view of this router.")] = "",
     as_json: AsJson = False,
 ) -> None:
-    """Each router's view of the engines."""
-    said = _ask(run, {"ask": "engines"}, router)
+    """Show each router's view of the engines."""
+    answers = _ask_routers(run, {"ask": "engines"}, router)
     if as_json:
-        return print_json(said)
-    for name, rows in said.items():
+        return print_json(answers)
+    for name, rows in answers.items():
         print_table(rows or [], f"{name} {'(dead)' if rows is None else ''}")
     return None
 
 
 @app.command()
 def members(run: RunDir = DEFAULT_RUN, as_json: AsJson = False) -> None:
-    """Each router's sources of engines: the file's generation, what is held back, who said what."""
-    said = _ask(run, {"ask": "members"})
+    """Show each router's sources of engines: the file's generation, what is held back, each source's list."""
+    answers = _ask_routers(run, {"ask": "members"})
     if as_json:
-        return print_json(said)
-    for name, found in said.items():
+        return print_json(answers)
+    for name, found in answers.items():
         if found is None:
             typer.echo(f"{name}: dead")
             continue
@@ -208,9 +217,9 @@
     return None
 
 
-def _all(run: Path, question: dict[str, Any], as_json: bool) -> None:
-    """Asks every router; exit 1 if one is dead or did not take it."""
-    said = _ask(run, question)
+def _change_all(run: Path, question: dict[str, Any], as_json: bool) -> None:
+    """Sends a change to every router; exit 1 if one is dead or refuses it."""
+    answers = _ask_routers(run, question)
     rows = [
         {
             "router": name,
@@ -219,7 +228,7 @@
             "digest": found.get("digest") if found else None,
             "generation": found.get("generation") if found else None,
         }
-        for name, found in said.items()
+        for name, found in answers.items()
     ]
     print_json(rows) if as_json else print_table(rows, "routers")
     if not all(row["taken"] for row in rows):
@@ -228,12 +237,12 @@
 
 @app.command()
 def apply(
-    file: Annotated[str, typer.Argument(help="File of engines; left out: what is held back.")] = "",
-    confirm: Annotated[str, typer.Option(help="Digest of a listing that takes much away.")] = "",
+    file: Annotated[str, typer.Argument(help="File of engines; default: the file that is held back.")] = "",
+    confirm: Annotated[str, typer.Option(help="Digest of a file that removes many engines.")] = "",
     run: RunDir = DEFAULT_RUN,
     as_json: AsJson = False,
 ) -> None:
-    """Have every router take a file of engines, or confirm the one that it holds back."""
+    """Apply a file of engines on every router, or confirm the one that is held back."""
     question: dict[str, Any] = {"ask": "apply", "confirm": confirm}
     if file:
         try:
@@ -241,21 +250,26 @@
         except (OSError, UnicodeDecodeError) as problem:
             typer.echo(f"{file}: can't be read: {problem}", err=True)
             raise typer.Exit(2) from None
-    _all(run, question, as_json)
+    _change_all(run, question, as_json)
 
 
 @app.command("drain-engines")
 def drain_engines(
     selector: Annotated[
-        str, typer.Argument(help="Names, zone:A, cell:3, kind:K, with commas; none: progress.")
+        str,
+        typer.Argument(
+            help="Names, zone:A, cell:3 or kind:K, separated by commas; default: show the progress."
+        ),
+    ] = "",
+    limit: Annotated[
+        str, typer.Option(help="Time limit such as 30s; streams that would run longer are moved.")
     ] = "",
-    limit: Annotated[str, typer.Option(help="Streams that would outlive this are moved, such as 30s.")] = "",
     undo: bool = False,
-    force: Annotated[bool, typer.Option(help="Also where no writer would be left.")] = False,
+    force: Annotated[bool, typer.Option(help="Drain even if no decode engine would be left.")] = False,
     run: RunDir = DEFAULT_RUN,
     as_json: AsJson = False,
 ) -> None:
-    """Have every router drain engines, take that back, or tell how far it is; exit 1 if one did not."""
+    """Drain engines on every router, undo that, or show the progress; exit 1 if a router did not."""
     from lifthead.deployment.durations import micros
 
     question: dict[str, Any] = {"ask": "drain engines", "undo": undo, "force": force}
@@ -267,110 +281,126 @@
         typer.echo(f"--limit: {problem}", err=True)
         raise typer.Exit(2) from None
     question["limit"] = int(question["limit"])
-    said = _ask(run, question)
+    answers = _ask_routers(run, question)
     if as_json:
-        print_json(said)
-    for name, found in said.items() if not as_json else ():
+        print_json(answers)
+    for name, found in answers.items() if not as_json else ():
         if found is None or not found["taken"]:
             typer.echo(f"{name}: {found['why'] if found else 'dead'}")
         else:
             print_table(found["engines"], f"{name}: draining")
-    if not all(found and found["taken"] for found in said.values()):
+    if not all(found and found["taken"] for found in answers.values()):
         raise typer.Exit(1)
 
 
 @app.command()
 def roll(
     selector: Annotated[
-        str, typer.Argument(help="Engines: names, zone:A, cell:3, kind:K, with commas; `-`: none.")
+        str, typer.Argument(help="Engines: names, zone:A, cell:3 or kind:K, separated by commas; `-`: none.")
+    ] = "",
+    restart: Annotated[
+        str, typer.Option(help="Command that restarts an engine; {name} stands for its name.")
+    ] = "",
+    routers: Annotated[
+        str, typer.Option(help="Routers to restart after the engines: names separated by commas, or all.")
     ] = "",
-    restart: Annotated[str, typer.Option(help="Command that restarts an engine; {name} is its name.")] = "",
-    routers: Annotated[str, typer.Option(help="Routers after the engines: names with commas, or all.")] = "",
     restart_router: Annotated[str, typer.Option(help="Command that restarts a router.")] = "",
-    floor: Annotated[float, typer.Option(min=0, max=1, help="Part of each role that serves on.")] = 0.7,
-    at_once: Annotated[int, typer.Option(min=1, help="Engines away at a time, at most.")] = 1,
-    limit: Annotated[str, typer.Option(help="Streams that would outlive this are moved, such as 30s.")] = "",
-    pause_over: Annotated[float, typer.Option(help="Share of missed answers that pauses the roll.")] = 0.1,
-    back_within: Annotated[str, typer.Option(help="Time for an engine to come back.")] = "60s",
-    resume: Annotated[bool, typer.Option("--resume", help="Go on with a roll that was begun.")] = False,
-    forget: Annotated[bool, typer.Option("--forget", help="Drop a begun roll; drains stay.")] = False,
+    floor: Annotated[
+        float, typer.Option(min=0, max=1, help="Fraction of the engines of each role that must keep serving.")
+    ] = 0.7,
+    at_once: Annotated[int, typer.Option(min=1, help="Most engines that may be down at a time.")] = 1,
+    limit: Annotated[
+        str, typer.Option(help="Time limit such as 30s; streams that would run longer are moved.")
+    ] = "",
+    pause_over: Annotated[
+        float, typer.Option(help="Share of late, rejected or failed answers that pauses the roll.")
+    ] = 0.1,
+    back_within: Annotated[str, typer.Option(help="Time limit for an engine to come back.")] = "60s",
+    resume: Annotated[bool, typer.Option("--resume", help="Continue a roll that was interrupted.")] = False,
+    forget: Annotated[
+        bool, typer.Option("--forget", help="Forget an interrupted roll; its drains remain.")
+    ] = False,
     run: RunDir = DEFAULT_RUN,
     as_json: AsJson = False,
 ) -> None:
-    """Restart engines and routers in turn, drained before and cold after; exit 1 if it could not go on."""
+    """Restart engines and routers in turn, with a drain before and a slow start after; exit 1 if it stops."""
     from lifthead.deployment.durations import micros
     from lifthead.members import rolling
     from lifthead.members.drains import SelectorError, named
     from lifthead.members.roll import Plan, refusal
 
-    async def play(place: rolling.Place) -> str:
-        kept = place.read()
+    async def run_roll(roll_state: rolling.Place) -> str:
+        saved = roll_state.read()
         if forget:
-            place.forget()
+            roll_state.forget()
             return ""
-        if resume != (kept is not None):
+        if resume != (saved is not None):
             raise rolling.BusyError(
-                f"{place.path}: a roll is not over: --resume or --forget" if kept else "no roll to resume"
+                f"{roll_state.path}: a roll is not finished: use --resume or --forget"
+                if saved
+                else "there is no roll to resume"
+            )
+        if saved is None:
+            fleet_watch = rolling.Lookout(run)
+            facts = await fleet_watch.facts()
+            engines = [] if selector == "-" else named(selector, fleet_watch.places)
+            chosen_routers = (
+                sorted(facts.routers) if routers == "all" else [*filter(None, routers.split(","))]
             )
-        if kept is None:
-            lookout = rolling.Lookout(run)
-            facts = await lookout.facts()
-            engines = [] if selector == "-" else named(selector, lookout.places)
-            chosen = sorted(facts.routers) if routers == "all" else [*filter(None, routers.split(","))]
-            if (engines and not restart) or (chosen and not restart_router):
+            if (engines and not restart) or (chosen_routers and not restart_router):
                 raise ValueError("expected --restart for engines and --restart-router for routers")
             plan = Plan(
-                engines, chosen, floor, at_once, int(micros(limit)) if limit else 0, pause_over,
+                engines, chosen_routers, floor, at_once, int(micros(limit)) if limit else 0, pause_over,
                 int(micros(back_within)),
             )  # fmt: skip
             if why := refusal(plan, facts):
                 raise ValueError(why)
-            kept = rolling.Kept(plan, restart, restart_router)
-        return await rolling.Rolling(run, place, kept, say).run()
+            saved = rolling.Kept(plan, restart, restart_router)
+        return await rolling.Rolling(run, roll_state, saved, say).run()
 
     def say(text: str) -> None:
         print_json({"said": text}) if as_json else typer.echo(text)
 
     try:
         run.mkdir(parents=True, exist_ok=True)
-        with rolling.Place(run) as place:
-            failed = asyncio.run(play(place))
+        with rolling.Place(run) as roll_state:
+            failed = asyncio.run(run_roll(roll_state))
     except (rolling.BusyError, SelectorError, ValueError, OSError) as problem:
         typer.echo(str(problem), err=True)
         raise typer.Exit(2) from None
     if failed:
-        typer.echo(f"stopped: {failed}; mend it, then --resume", err=True)
+        typer.echo(f"stopped: {failed}; fix the cause, then use --resume", err=True)
         raise typer.Exit(1)
 
 
 @app.command()
 def restart(name: str, run: RunDir = DEFAULT_RUN) -> None:
-    """Restart an engine or router of `lifthead up`; returns once it is up."""
+    """Restart an engine or router of `lifthead up` and wait until it is up."""
     from lifthead.fleet import admin
 
     try:
-        said = asyncio.run(admin.ask(run / STAGE, {"ask": "restart", "name": name}, 90.0))
+        answer = asyncio.run(admin.ask(run / TEST_FLEET_SOCKET, {"ask": "restart", "name": name}, 90.0))
     except (OSError, TimeoutError) as problem:
-        typer.echo(f"{run / STAGE}: no answer: {problem!r}", err=True)
+        typer.echo(f"{run / TEST_FLEET_SOCKET}: no answer: {problem!r}", err=True)
         raise typer.Exit(1) from None
-    if why := said.get("error"):
+    if why := answer.get("error"):
         typer.echo(why, err=True)
         raise typer.Exit(1)
 
 
 @app.command()
 def rollback(
-    to: Annotated[int, typer.Option(help="Generation; left out: the one before.")] = 0,
+    to: Annotated[int, typer.Option(help="Generation; default: the previous one.")] = 0,
     run: RunDir = DEFAULT_RUN,
     as_json: AsJson = False,
 ) -> None:
-    """Have every router go back to an earlier generation of its file of engines."""
-    _all(run, {"ask": "rollback", "to": to}, as_json)
+    """Go back to an earlier generation of the file of engines on every router."""
+    _change_all(run, {"ask": "rollback", "to": to}, as_json)
 
 
 @app.command()
 def diff(file: Path, now: Path, settings: Path, as_json: AsJson = False) -> None:
-    """What taking FILE in place of NOW would do; exit 1 if it would be refused or held back."""
+    """Show what replacing NOW by FILE would change; exit 1 if it would be refused or held back."""
     from lifthead.members.listing import change, listing
 
     fleet = _read_settings(settings)
@@ -393,50 +423,50 @@
 
 @app.command()
 def drain(name: str, run: RunDir = DEFAULT_RUN, undo: bool = False, as_json: AsJson = False) -> None:
-    """Have a router take no more reqs; balancers are told `drain`."""
-    _one(run, name, {"ask": "drain", "undo": undo}, as_json)
+    """Make a router accept no more requests; its health check tells balancers `drain`."""
+    _ask_one(run, name, {"ask": "drain", "undo": undo}, as_json)
 
 
 @app.command()
 def stop(name: str, run: RunDir = DEFAULT_RUN, as_json: AsJson = False) -> None:
-    """Have a router answer all it holds and exit."""
-    _one(run, name, {"ask": "stop"}, as_json)
+    """Make a router finish its pending requests and exit."""
+    _ask_one(run, name, {"ask": "stop"}, as_json)
 
 
 @app.command()
 def up(file: Path, run: RunDir = DEFAULT_RUN, seed: int = 1, as_json: AsJson = False) -> None:
-    """Start stand-in engines, a pushed list and the routers of a script; run until SIGTERM."""
+    """Start the stand-in engines, the list service and the routers of a script; run until SIGTERM."""
     import functools
     import signal
 
     from lifthead.fleet import admin
     from lifthead.standins.stage import Stage
 
-    async def hold() -> None:
+    async def run_fleet() -> None:
         fleet = _read_settings(file)
         run.mkdir(parents=True, exist_ok=True)
-        stage, over = Stage(fleet, file.resolve(), run, seed), asyncio.Event()
+        test_fleet, stop_requested = Stage(fleet, file.resolve(), run, seed), asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, over.set)
+            asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
         try:
-            await stage.start()
-            handler = functools.partial(admin.serve, {"restart": stage.restart})
-            desk = await asyncio.start_unix_server(handler, str(run / STAGE))
-            line = stage.line()
+            await test_fleet.start()
+            handler = functools.partial(admin.serve, {"restart": test_fleet.restart})
+            admin_server = await asyncio.start_unix_server(handler, str(run / TEST_FLEET_SOCKET))
+            line = test_fleet.line()
             (run / "up.json").write_bytes(msgspec.json.encode(line))
             if as_json:
                 print(msgspec.json.encode(line).decode(), flush=True)
             else:
                 print_table(line["routers"], "routers")
                 print_table(line["engines"], "engines")
-            await over.wait()
-            desk.close()
-            (run / STAGE).unlink(missing_ok=True)
-            await stage.close()
+            await stop_requested.wait()
+            admin_server.close()
+            (run / TEST_FLEET_SOCKET).unlink(missing_ok=True)
+            await test_fleet.close()
         finally:
-            await stage.abandon()
+            await test_fleet.abandon()
 
-    asyncio.run(hold())
+    asyncio.run(run_fleet())
 
 
 @app.command()
@@ -446,12 +476,12 @@
     seed: int = 1,
     as_json: AsJson = False,
 ) -> None:
-    """Play a scripted day on real processes and check the rules; exit 1 if one is broken."""
-    from lifthead.standins import day as days
+    """Run a scripted scenario on real processes and check the rules; exit 1 if one is broken."""
+    from lifthead.standins import day as scenarios
 
     fleet = _read_settings(file)
     try:
-        summary = asyncio.run(days.play(fleet, file, out, seed))
+        summary = asyncio.run(scenarios.play(fleet, file, out, seed))
     except ValueError as problem:
         typer.echo(f"{file}: {problem}", err=True)
         raise typer.Exit(2) from None
@@ -464,7 +494,7 @@
 
 @app.command()
 def verify(directory: Path, as_json: AsJson = False) -> None:
-    """Check the five rules from a day's traffic records alone; exit 1 if one is broken."""
+    """Check the five rules from the traffic records of a scenario; exit 1 if one is broken."""
     from lifthead.standins import verify as checker
 
     try:
--- a/lifthead/output.py
+++ b/lifthead/output.py
@@ -1,4 +1,4 @@
-"""What the command line prints: tables for people, one JSON document for scripts."""
+"""Output of the command line: tables for people, one JSON document for scripts."""
 
 from typing import Any
 
@@ -9,12 +9,12 @@
 
 
 def print_json(value: Any) -> None:
-    """One JSON document on standard output."""
+    """Prints one JSON document to standard output."""
     typer.echo(msgspec.json.encode(value, enc_hook=int).decode())
 
 
 def print_table(rows: list[dict[str, Any]], title: str) -> None:
-    """A table of rows that have the same keys, which head its columns."""
+    """Prints a table; all rows have the same keys, which become the column headings."""
     table = Table(title=title, title_justify="left")
     for column in rows[0] if rows else ():
         table.add_column(column.replace("_", " "))
