--- a/lifthead/hosting.py
+++ b/lifthead/hosting.py
@@ -173,7 +173,9 @@
 
         The event loop may not have noticed yet that the client disconnected, so the operating system is
         asked."""
-        refusal = pending.guard.refusal(attempt, now(), endpoint.readiness == "ready", pending.reply.gone)
+        refusal = pending.guard.refusal(
+            attempt, now(), endpoint.readiness == "ready", pending.reply.client_gone
+        )
         if refusal is None:
             pending.guard.on_sending(attempt, now(), endpoint.readiness == "ready")
             return None
--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -107,7 +107,7 @@
     async def answer(self, message: Message, reply: Reply) -> None:
         """Serves a client's message until its answer is complete."""
         if message.path == clients.READY_PATH and message.method == "GET":
-            return reply.whole(200 if self._can_serve and self.list_is_current() else 503, b"")
+            return reply.send_whole(200 if self._can_serve and self.list_is_current() else 503, b"")
         try:
             demand = clients.parse_request(
                 message, self._next_id, self._request_classes, self.queueing_time(message)
@@ -117,7 +117,7 @@
                 raise HttpError(409, "a req with this id is open")
         except HttpError as error:
             reply.keep_alive = False
-            return reply.whole(error.status, clients.error_body(error.status, "bad_req", error.reason))
+            return reply.send_whole(error.status, clients.error_body(error.status, "bad_req", error.reason))
         self._next_id += 1
         guard = self._new_guard(request_id, demand.request_class, demand.budget)
         pending = PendingRequest(
@@ -126,7 +126,7 @@
         self.pending_requests[pending.id] = pending
         self._open_request_ids.add(request_id)
         self.idle.clear()
-        reply.left = lambda: self._on_client_gone(pending)
+        reply.on_client_gone = lambda: self._on_client_gone(pending)
         self._note_event(
             pending, Event.ACCEPTED, detail=f"class={demand.request_class} prompt={demand.prompt_tokens}"
         )
@@ -156,12 +156,12 @@
     def reject(self, request_id: int, retry_after: int) -> None:
         pending = self.pending_requests[request_id]
         if self._set_final_answer(pending, "pushed back"):
-            pending.reply.whole(*clients.rejection(retry_after))
+            pending.reply.send_whole(*clients.rejection(retry_after))
 
     def fail(self, request_id: int) -> None:
         pending = self.pending_requests[request_id]
         if self._set_final_answer(pending, "aborted"):
-            pending.reply.whole(*clients.failure())
+            pending.reply.send_whole(*clients.failure())
 
     def probe(self, engine: str) -> None:
         self._spawn(self._probe(engine), f"probe of {engine}")
@@ -316,7 +316,7 @@
                 has_room = pending.reply.send(complete_events) if complete_events else True
             if not has_room:
                 timeout.reschedule(None)  # a slow client is not a silent engine
-                await pending.reply.room()
+                await pending.reply.wait_writable()
                 timer_set_at = 0.0
             if self._loop.time() > timer_set_at + engines.STREAM_SILENCE_TIMEOUT / 8:
                 timer_set_at = self._loop.time()
@@ -339,7 +339,7 @@
         outcome, outcome_note = engines.OUTCOMES[observation]
         self._on_attempt_ended(pending, attempt, observation)
         if pending.answer_started and self._set_final_answer(pending, "broken"):
-            pending.reply.cut()
+            pending.reply.truncate()
         final = pending.final_answer != ""
         took_us = now() - attempt.sent_at
         self._note_event(
--- a/lifthead/node/serve.py
+++ b/lifthead/node/serve.py
@@ -9,7 +9,7 @@
 import sys
 from dataclasses import dataclass
 
-from lifthead.chat.server import Clients
+from lifthead.chat.server import ClientConnections
 from lifthead.node import clients, start
 from lifthead.node.discovery import Watch
 from lifthead.node.host import Host
@@ -65,13 +65,13 @@
         version = config.initial_list.version if config.initial_list else 0
         shared = config.deployment.list_on_request
         watch = Watch(config.discovery, version, host.on_list_update, config.deployment.seed, shared)
-        client_listener = Clients(
+        client_listener = ClientConnections(
             ClientLimits(config.max_client_connections),
             host.answer,
             clients.error_body,
             clients.FIRST_REQUEST_TIMEOUT,
         )
-        host.close_idle_client = client_listener.make_room
+        host.close_idle_client = client_listener.evict_idle
         list_deadline = loop.time() + FIRST_UPDATE_TIMEOUT
         host.list_is_current = lambda: watch.has_update or loop.time() > list_deadline
         listening_socket = open_listening_socket(config.listen)
@@ -91,7 +91,7 @@
         await accepting
         listening_socket.close()
         await host.idle.wait()
-        await client_listener.closed()
+        await client_listener.wait_closed()
         for task in background_tasks:
             task.cancel()
         host.close()
@@ -101,7 +101,7 @@
 
 
 async def reload_on_signal(
-    path: str, reload: asyncio.Event, watch: Watch, client_listener: Clients, host: Host
+    path: str, reload: asyncio.Event, watch: Watch, client_listener: ClientConnections, host: Host
 ) -> None:
     """Reads the configuration again at each SIGHUP. An invalid one is logged and changes nothing."""
     while True:
--- a/tests/onenode.py
+++ b/tests/onenode.py
@@ -4,9 +4,9 @@
 import json
 from dataclasses import replace
 
-from loopback import Listening
+from loopback import LocalServers
 
-from lifthead.chat.server import Clients
+from lifthead.chat.server import ClientConnections
 from lifthead.http1 import encode_chunk
 from lifthead.node import clients
 from lifthead.node.discovery import parse_update
@@ -130,7 +130,7 @@
         return True
 
 
-class Node(Listening):
+class Node(LocalServers):
     """`engines`: by uid; those whose uid starts with rd are prefill engines, the others decode engines."""
 
     def __init__(
@@ -153,10 +153,10 @@
         )
         self.update_engines(*(target(uid, at) for uid, at in self.addresses.items()))
         limits = ClientLimits(self.max_client_connections, header_within=300_000, body_within=300_000)
-        self.client_listener = Clients(
+        self.client_listener = ClientConnections(
             limits, self.host.answer, clients.error_body, self.first_request_timeout
         )
-        self.address = await self._listen(self.client_listener.connection)
+        self.address = await self._listen(self.client_listener.handle_connection)
         return self
 
     def update_engines(self, *targets, is_snapshot=True):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -317,8 +317,8 @@
 
 WAYS_TO_CLOSE = {
     "stop": lambda node: node.client_listener.stop(),
-    "shed": lambda node: node.client_listener.make_room(),
-    "idle": lambda node: node.client_listener._close(node.client_listener._idle),
+    "shed": lambda node: node.client_listener.evict_idle(),
+    "idle": lambda node: node.client_listener._end_reading(node.client_listener._idle),
 }
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -123,7 +123,7 @@
                 await client.answer()
             await asyncio.sleep(0.15)
             os.write(unread.writer.get_extra_info("socket").fileno(), chat(100))
-            first, second = node.client_listener.make_room(), node.client_listener.make_room()
+            first, second = node.client_listener.evict_idle(), node.client_listener.evict_idle()
             return first, second, await idle.closed(0.5), (await unread.answer())[0]
 
     assert run_with_node(scenario, wr=Engine()) == (True, False, True, 200)
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -8,15 +8,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from lifthead.resume.resume_queue import BrokenStream, DrainingStream, ResumeQueue
-from lifthead.resume.stall_detector import StallDetector
-from loopback import SCRIPT, Loopback, body, http, raw
+from loopback import SCRIPT, Loopback, body, http, send_raw
 from test_daemon import forwards, run, texts
 
 from lifthead.engines.codec import ListedEngine, ListUpdate
 from lifthead.interface import Idempotency, RequestClass
 from lifthead.resume import resume_queue, splice, stall_detector
+from lifthead.resume.resume_queue import BrokenStream, DrainingStream, ResumeQueue
 from lifthead.resume.splice import SentAnswer, Splice, SpliceError
+from lifthead.resume.stall_detector import StallDetector
 from lifthead.standins.text import answer as text_of_answer
 
 MS = 1000
@@ -370,7 +370,7 @@
                     loop.fault(name, "overlap", lasts=20)
             loop.fault("wr", "reset", lasts=0.4 if how != "silent" else 0.0)
             attempts = [
-                asyncio.create_task(raw(loop.address, http(request), within=15)) for request in requests
+                asyncio.create_task(send_raw(loop.address, http(request), within=15)) for request in requests
             ]
             await asyncio.sleep(0.25)
             if how == "silent":
@@ -384,7 +384,9 @@
                 assert last == b"[DONE]" and answer_text == expected(request)
             attempts_seen = len(forwards(loop, *names))
             assert (
-                attempts_seen > 12 and not loop.daemon.host.pending_requests and not loop.daemon.host._streams
+                attempts_seen > 12
+                and not loop.daemon.host.pending_requests
+                and not loop.daemon.host._running_streams
             )
 
     run(play())
@@ -403,7 +405,7 @@
             began, ends = time.monotonic(), []
             for number in range(6):
                 request = body(str(number), model=model, stream=True, max_tokens=300, **fields)
-                answer = await raw(loop.address, http(request))
+                answer = await send_raw(loop.address, http(request))
                 if b"event-stream" in answer:
                     ends.append(texts(answer)[1])
             assert sum(b"stream_broken" in end for end in ends) > 2
@@ -426,7 +428,7 @@
             request = body(
                 "wait", model="once" if case == "non-replayable" else "m", stream=True, max_tokens=300
             )
-            answer = asyncio.create_task(raw(loop.address, http(request), within=15))
+            answer = asyncio.create_task(send_raw(loop.address, http(request), within=15))
             await loop.until(lambda: loop.engines["wr"].running or loop.engines["wr2"].running)
             for name in ("wr", "wr2"):
                 if "draining" in case:
@@ -435,13 +437,13 @@
                     loop.fault(name, "silent", lasts=1.0 if loop.engines[name].running else 0.0)
             if "draining" in case:
                 drains_by = time.time_ns() // 1000 + 200_000
-                loop.daemon.host.on_list(
+                loop.daemon.host.on_engine_list(
                     ListUpdate(
                         False,
                         [
                             ListedEngine(
                                 name,
-                                loop.listed[name],
+                                loop.engine_addresses[name],
                                 "a",
                                 0,
                                 "writer",
@@ -462,15 +464,15 @@
 def test_a_client_that_leaves_while_its_stream_waits_to_be_resumed(tmp_path):
     async def play():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
-            loop.daemon.host.rescue.take_next = lambda now: []  # no stream may be resumed now
+            loop.daemon.host.resumptions.take_next = lambda now: []  # no stream may be resumed now
             loop.fault("wr", "reset", lasts=20)
             loop.fault("wr2", "reset", lasts=20)
             _, writer = await asyncio.open_connection(*loop.address.split(":"))
             writer.write(http(body("x", stream=True, max_tokens=300)))
-            await loop.until(lambda: loop.daemon.host.rescue.waiting_count == 1)
+            await loop.until(lambda: loop.daemon.host.resumptions.waiting_count == 1)
             writer.close()
             await loop.until(lambda: not loop.daemon.host.pending_requests, 1.0)
-            assert not loop.daemon.host.rescue.waiting_count and not loop.daemon.host._streams
+            assert not loop.daemon.host.resumptions.waiting_count and not loop.daemon.host._running_streams
 
     run(play())
 
@@ -482,18 +484,18 @@
             for name in ("wr", "wr2"):
                 loop.fault(name, "slow", lasts=20, times=4.0)
             attempts = [
-                asyncio.create_task(raw(loop.address, http(request), within=25)) for request in requests
+                asyncio.create_task(send_raw(loop.address, http(request), within=25)) for request in requests
             ]
             await asyncio.sleep(0.6)
             assert loop.engines["wr"].running
             drains_by = time.time_ns() // 1000 + 500_000
-            loop.daemon.host.on_list(
+            loop.daemon.host.on_engine_list(
                 ListUpdate(
                     False,
                     [
                         ListedEngine(
                             "wr",
-                            loop.listed["wr"],
+                            loop.engine_addresses["wr"],
                             "a",
                             0,
                             "writer",
