--- a/lifthead/daemon/resuming.py
+++ b/lifthead/daemon/resuming.py
@@ -7,9 +7,8 @@
 import asyncio
 from typing import Any
 
-from lifthead.daemon.metrics import Metrics
-
 from lifthead.chat import codec as chat
+from lifthead.daemon.metrics import Metrics
 from lifthead.daemon.requests import ChatAttempt, PendingChatRequest
 from lifthead.engines.codec import Observation
 from lifthead.hosting import BaseHost, now
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -16,14 +16,14 @@
 
 import msgspec
 import structlog
-from lifthead.daemon.billing import Billing
-from lifthead.daemon.metrics import Metrics
 
 from lifthead.chat import codec
 from lifthead.chat.codec import BadRequestError, ChatApi
 from lifthead.chat.server import ClientConnections, Reply
 from lifthead.control import Router
+from lifthead.daemon.billing import Billing
 from lifthead.daemon.host import Host, now
+from lifthead.daemon.metrics import Metrics
 from lifthead.daemon.views import engine_views, work_by_engine
 from lifthead.deployment.derive import deployment
 from lifthead.deployment.fleet import EngineSpec, Fleet
--- a/lifthead/lab/router.py
+++ b/lifthead/lab/router.py
@@ -6,8 +6,6 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lifthead.resume.resume_queue import BrokenStream, ResumeQueue
-
 from lifthead import control
 from lifthead.deployment.derive import deployment
 from lifthead.deployment.fleet import EngineSpec, Fleet
@@ -16,6 +14,7 @@
 from lifthead.lab.clock import Clock
 from lifthead.lab.engine import Engine, Sent
 from lifthead.resume import stall_detector
+from lifthead.resume.resume_queue import BrokenStream, ResumeQueue
 
 HOP = 250  # microseconds that a message between two processes takes
 LOOK_EVERY = 50_000
--- a/lifthead/simhost/serve.py
+++ b/lifthead/simhost/serve.py
@@ -4,6 +4,7 @@
 from dataclasses import replace
 from typing import TextIO
 
+from lifthead.control import Router
 from lifthead.instance_settings import (
     Fields,
     MalformedError,
@@ -13,8 +14,6 @@
     parse_deployment,
     required_field,
 )
-
-from lifthead.control import Router
 from lifthead.simhost import wire
 
 
--- a/lifthead/simhost/wire.py
+++ b/lifthead/simhost/wire.py
@@ -9,7 +9,6 @@
     lookup_field,
     required_field,
 )
-
 from lifthead.interface import AttemptOutcome, EngineEntry, LoadReport, RequestSpec
 
 OUTCOMES = {
