--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -129,13 +129,15 @@
         self.idle.clear()
         self.metrics.count_accepted(request.request_class)
         reply.on_client_gone = lambda: self._on_client_gone(pending)
-        self._place_request(
+        self._place_chat_request(
             pending, max(request.budget - waited, 0), request.prompt_tokens, request.max_answer_tokens
         )
         await reply.finished.wait()
         self._forget(pending)
 
-    def _place_request(self, pending: PendingChatRequest, budget: int, prompt: int, max_out: int) -> None:
+    def _place_chat_request(
+        self, pending: PendingChatRequest, budget: int, prompt: int, max_out: int
+    ) -> None:
         """Has the module place the request, or the rest of its stream after a break."""
         request = pending.request
         self._place_request(
--- a/lifthead/daemon/resuming.py
+++ b/lifthead/daemon/resuming.py
@@ -30,7 +30,9 @@
     _resume_enabled: bool
     _running_streams: dict[int, PendingChatRequest]  # by serial number
 
-    def _place_request(self, pending: PendingChatRequest, budget: int, prompt: int, max_out: int) -> None:
+    def _place_chat_request(
+        self, pending: PendingChatRequest, budget: int, prompt: int, max_out: int
+    ) -> None:
         """Has the decision module place the rest of a request."""
         raise NotImplementedError
 
@@ -86,7 +88,7 @@
             pending.engine_body = continuation(request.body, pending.answer_so_far)
             self.metrics.recomputed_tokens.inc(broken.prefill_tokens)
             pending.recomputed_tokens += broken.prefill_tokens
-            self._place_request(
+            self._place_chat_request(
                 pending,
                 self.resumptions.first_token_budget(broken, at),
                 broken.prefill_tokens,
