--- a/lifthead/events.py
+++ b/lifthead/events.py
@@ -1,8 +1,8 @@
-"""What a router remembers of its requests: a bounded ring of recent events, and one log line for each that is
-out of the ordinary.
+"""Keeps a bounded ring buffer of recent request events, and logs the unusual ones.
 
-The ring is written out whole on SIGUSR1 and when an invariant is broken. The standard logger is used:
-structlog costs a node's start 0.13 s of processor time and 5 MB more, which a fleet pays at each restart.
+The whole ring is logged on SIGUSR1, and the events of one request when it breaks an invariant. The standard
+logger is used because structlog adds 0.13 s of processor time and 5 MB to the start of a node, which a fleet
+pays at each restart.
 """
 
 import logging
@@ -10,11 +10,11 @@
 from enum import Enum
 from typing import NamedTuple
 
-RING_SIZE = 2048  # events; the latest of some hundreds of requests
+RING_SIZE = 2048  # events; enough for the latest few hundred requests
 
 
 class Event(Enum):
-    """What can happen to a request, an attempt of it, and the state that a prefill engine holds for it."""
+    """What can happen to a request, to one of its attempts and to the state held for it."""
 
     ACCEPTED = "request_taken"
     CONNECTING = "attempt_connecting"
@@ -36,7 +36,7 @@
 
 
 class Record(NamedTuple):
-    """One event. `at` is in microseconds of the monotonic clock; `detail` holds pairs name=value."""
+    """One event. `at` is in microseconds of the monotonic clock; `detail` holds name=value pairs."""
 
     at: int
     event: Event
@@ -57,7 +57,7 @@
 
 
 class EventLog:
-    """The ring of one router process."""
+    """The ring buffer of events of one router process."""
 
     def __init__(self, log: logging.Logger, size: int = RING_SIZE) -> None:
         self._log = log
@@ -66,7 +66,7 @@
     def add(
         self, at: int, event: Event, request: str, attempt: int = -1, engine: str = "", detail: str = ""
     ) -> Record:
-        """Keeps an event of the ordinary path in the ring alone."""
+        """Adds an ordinary event to the ring without logging it."""
         record = Record(at, event, request, attempt, engine, detail)
         self._ring.append(record)
         return record
@@ -74,19 +74,19 @@
     def add_and_log(
         self, at: int, event: Event, request: str, attempt: int = -1, engine: str = "", detail: str = ""
     ) -> None:
-        """Keeps an event and logs it as well: a close, a retry, a rejection, a release or a give-up."""
+        """Adds an unusual event and logs it: a close, a retry, a rejection, a release or a failure."""
         self.log(self.add(at, event, request, attempt, engine, detail))
 
     def log(self, record: Record) -> None:
-        """Logs an event that is kept already."""
+        """Logs an event that is in the ring already."""
         self._log.info("%s", record)
 
     def for_request(self, request: str) -> list[Record]:
-        """The events of one request that are still remembered, oldest first."""
+        """Returns the events of one request that are still in the ring, oldest first."""
         return [record for record in self._ring if record.request == request]
 
     def dump(self, reason: str, request: str | None = None) -> None:
-        """Logs the ring, or what it holds of one request."""
+        """Logs the whole ring, or only the events of one request."""
         records = list(self._ring) if request is None else self.for_request(request)
         self._log.warning("event ring: %s, %d events", reason, len(records))
         for record in records:
--- a/lifthead/guard.py
+++ b/lifthead/guard.py
@@ -1,10 +1,10 @@
-"""One guard for each request: sending, repeating, closing and starting an attempt all pass it, and so do the
-final answer and the state that a prefill engine holds.
+"""Guards each request: the host reports every attempt, the held state and the final answer to it.
 
-It knows in which state each attempt and each held state is, says whether an attempt may be sent, and checks
-the rules as invariants while the process runs. It decides nothing else and does no I/O. What was sent has not
-arrived, and what was released is not gone: lifthead/releases.py says what proves the end of a held state, and
-lifthead/held_audit.py judges that by a way of its own. Times are microseconds of the monotonic clock.
+The guard tracks the state of each attempt and of the held state, says whether an attempt may be sent, and
+checks the invariants while the process runs. It makes no other decision and does no I/O. That bytes were sent
+doesn't prove that they arrived, and a release that was sent doesn't prove that nothing is held:
+lifthead/releases.py defines what proves the end of a held state, and lifthead/held_audit.py checks that
+independently. Times are microseconds of the monotonic clock.
 """
 
 from collections import Counter
@@ -16,13 +16,13 @@
 from lifthead.interface import Effect
 from lifthead.releases import ReleaseSchedule
 
-HELD_STATE_SLACK = 300_000  # what the platform allows beyond the settings' time for a held state
-FINAL_ANSWER_SLACK = 500_000  # an answer may be this late: it earns nothing, and is not lost
+HELD_STATE_SLACK = 300_000  # that the platform allows beyond the limit in the settings
+FINAL_ANSWER_SLACK = 500_000  # an answer this late has no value but is not a violation
 NEVER = 1 << 62
 
 
 class Rule(Enum):
-    """The five rules, as the violations of them are counted."""
+    """The five rules whose violations are counted."""
 
     FINAL_ANSWER = "final_answer"
     SINGLE_EFFECT = "single_effect"
@@ -32,22 +32,22 @@
 
 
 class AttemptState(Enum):
-    """How far an attempt is known to have come."""
+    """The state of an attempt, as far as the router knows."""
 
     CONNECTING = "connecting"
     SENDING = "writing"
-    SENT = "written"  # the last byte was given to the system
-    CONFIRMED = "confirmed"  # something came back
+    SENT = "written"  # the last byte was passed to the operating system
+    CONFIRMED = "confirmed"  # the head of an answer came back
     ENDED = "ended"
 
 
 class HeldStateStatus(Enum):
-    """What is known of a state at a prefill engine."""
+    """What is known about a state held by a prefill engine."""
 
-    POSSIBLE = "possible"  # an attempt that did not end well may have left one
+    POSSIBLE = "possible"  # a failed attempt may have left one
     LEASED = "leased"
     FETCHED = "fetched"
-    RELEASING = "releasing"  # a release has gone out, and it is not proven that nothing is held
+    RELEASING = "releasing"  # a release was sent, but a state may still be held
     RELEASED = "released"
 
 
@@ -55,22 +55,22 @@
     """Why an attempt may not be sent now."""
 
     ANSWERED = "the request has its final answer"
-    ENGINE_NOT_READY = "the engine drains or is gone"
-    PAST_DEADLINE = "its time is over"
-    CLIENT_GONE = "the client has gone"
-    STATE_RELEASED = "the state that it should fetch was released"
+    ENGINE_NOT_READY = "the engine is draining or gone"
+    PAST_DEADLINE = "the time to send it is over"
+    CLIENT_GONE = "the client has disconnected"
+    STATE_RELEASED = "the state to fetch was released"
 
 
 class Work(Enum):
-    """What an attempt asks of its engine."""
+    """What an attempt asks its engine to do."""
 
-    PREFILL = "prefill"  # has no effect, leaves a state
-    FETCH = "fetch"  # decodes from a state
-    PREFILL_AND_DECODE = "whole"  # reads the prompt and decodes
+    PREFILL = "prefill"  # leaves a held state and has no other effect
+    FETCH = "fetch"  # fetches a held state and decodes
+    PREFILL_AND_DECODE = "whole"  # prefills the prompt and decodes
 
 
 class Violations:
-    """Counts what breaks an invariant, by rule. `report` gets the rule, the request's name and why."""
+    """Counts violations of the invariants by rule. `report` gets the rule, the request and the reason."""
 
     def __init__(self, report: Callable[[Rule, str, str], None]) -> None:
         self.counts: Counter[Rule] = Counter()
@@ -86,24 +86,24 @@
 
 @dataclass(slots=True, eq=False)
 class HeldState:
-    """A state that an engine holds, or may hold, for a request."""
+    """A state that a prefill engine holds, or may hold, for a request."""
 
     holder: str
     status: HeldStateStatus = HeldStateStatus.LEASED
-    prefill_serial: int = 0  # the prefill that left it
+    prefill_serial: int = 0  # of the prefill attempt that left it
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class Attempt:
     """One attempt of a request at one engine."""
 
-    number: int  # among those of one placing of the request
+    number: int  # counts from 0 each time the request is placed
     engine: str
     work: Work
-    send_by: int  # later than this it must not be sent
+    send_by: int  # it must not be sent after this
     sent_at: int
-    serial: int = 0  # among all of the request, by its guard
-    announced_deadline: int = 0  # how long its engine was told that it would be waited for
+    serial: int = 0  # unique within the request, set by its guard
+    announced_deadline: int = 0  # until when its engine was told that the router waits
     state: AttemptState = AttemptState.CONNECTING
     cancelled: bool = False
 
@@ -113,13 +113,15 @@
 
     @property
     def may_have_arrived(self) -> bool:
-        """Whether some of it may have reached its engine."""
+        """Whether part of it may have reached its engine."""
         return self.state not in (AttemptState.CONNECTING, AttemptState.ENDED)
 
 
 @dataclass(slots=True, eq=False)
 class RequestGuard:
-    """`held_state_limit`: how long a state may be held while no attempt has arrived, 0 without limit."""
+    """Tracks one request and checks its invariants.
+
+    `held_state_limit`: how long a state may be held while no attempt has arrived; 0: without limit."""
 
     request: str
     effect: Effect
@@ -127,14 +129,14 @@
     held_state_limit: int
     violations: Violations
     attempt: Attempt | None = None  # in flight
-    held_state: HeldState | None = None  # the latest
-    final_answer: str = ""  # the final answer, in one word
+    held_state: HeldState | None = None  # the latest one
+    final_answer: str = ""  # its kind in one word; empty until there is one
     may_have_run: bool = False
-    answer_started: bool = False  # the answer has reached the client in part
+    answer_started: bool = False  # the first token has come
     releases: ReleaseSchedule = field(init=False)
-    # Of prefills that may have left a state: the engine, by serial number.
+    # The engines of prefill attempts that may have left a state, by serial number.
     _holders: dict[int, str] = field(default_factory=dict)
-    # Closed before they were answered, and their engines have not shown that they saw it; by serial number.
+    # Attempts closed before they were answered whose engines may not have noticed, by serial number.
     _undetected_closes: dict[int, Attempt] = field(default_factory=dict)
     _attempts_started: int = 0
     _audit_entries: list[Entry] = field(default_factory=list)
@@ -145,27 +147,28 @@
 
     @property
     def holder(self) -> str:
-        """The engine where a state is, or may be, held; "" if there is none."""
+        """The engine that holds, or may hold, the latest state; empty if nothing is held."""
         return self.held_state.holder if self.held_state and self.releases.open else ""
 
     @property
     def holders(self) -> dict[int, str]:
-        """The engines that may hold a state, by the serial number of the prefill that may have left it."""
+        """The engines that may hold a state, by the serial number of the prefill attempt."""
         return dict(self._holders) if self.releases.open else {}
 
     @property
     def had_held_state(self) -> bool:
-        """Whether a state was, or may have been, held for it."""
+        """Whether a state was, or may have been, held for the request."""
         return bool(self._audit_entries)
 
     @property
     def is_leased(self) -> bool:
-        """Whether a state waits for a call to fetch it."""
+        """Whether a held state waits to be fetched."""
         return self.held_state is not None and self.held_state.status is HeldStateStatus.LEASED
 
     # Attempts.
 
     def start(self, attempt: Attempt) -> None:
+        """Registers an attempt. Only one may be in flight at a time."""
         if self.attempt is not None:
             why = f"{attempt.engine} beside {self.attempt.engine}"
             self.violations.add(Rule.SINGLE_EFFECT, self.request, why)
@@ -173,7 +176,8 @@
         attempt.serial, self._attempts_started = self._attempts_started, self._attempts_started + 1
 
     def refusal(self, attempt: Attempt, now: int, ready: bool, client_gone: bool) -> Refusal | None:
-        """Why this attempt may not be sent now, None if it may. To be asked in the instant before."""
+        """Returns why this attempt may not be sent now, or None if it may. To be asked just before
+        sending."""
         if not ready:
             return Refusal.ENGINE_NOT_READY
         if now >= attempt.send_by:
@@ -187,7 +191,7 @@
         return None
 
     def on_sending(self, attempt: Attempt, now: int, ready: bool = True) -> None:
-        """Its first byte goes out, to an engine that is ready for new work or is not."""
+        """The first byte of an attempt is about to be sent. `ready`: whether its engine accepts new work."""
         attempt.state, attempt.sent_at = AttemptState.SENDING, now
         if not ready:
             self.violations.add(Rule.DRAIN, self.request, f"sent to {attempt.engine}, which is not ready")
@@ -205,11 +209,11 @@
         attempt.state = AttemptState.SENT
 
     def on_confirmed(self, attempt: Attempt) -> None:
-        """The head of an answer came back: the attempt has arrived."""
+        """The head of an answer came back, which proves that the attempt arrived."""
         attempt.state = AttemptState.CONFIRMED
 
     def on_ended(self, attempt: Attempt, now: int, proven_not_run: bool, answered: bool) -> None:
-        """It is over, and its connection is given back or closed. `answered`: by its engine, in whole."""
+        """An attempt is over. `answered`: its engine sent a complete answer."""
         may_have_arrived = attempt.may_have_arrived
         proven_not_run = proven_not_run or not may_have_arrived
         if not attempt.is_prefill and not proven_not_run:
@@ -240,22 +244,23 @@
         self._update_held_state()
 
     def on_peer_closed(self, attempt: Attempt, now: int) -> None:
-        """The engine has ended its side of an attempt's connection that was closed."""
+        """The engine has closed its side of the connection of an attempt that this end closed."""
         self.releases.end_shown(attempt.serial, now)
         if self._undetected_closes.pop(attempt.serial, None):
             self._add_audit_entry(now, Fact.PEER_CLOSED, attempt)
 
-    def on_engine_alive(self, engine: str, asked_at: int, now: int) -> None:
-        """An engine has answered what it was sent at `asked_at`, or its process has ended: past the time that
-        it was told, it gives up what it did not see closed."""
-        self.releases.engine_runs(engine, asked_at, now)
+    def on_engine_alive(self, engine: str, sent_at: int, now: int) -> None:
+        """An engine has answered a message sent at `sent_at`, or its process has ended.
+
+        After the announced deadline a running engine abandons attempts even if it missed their close."""
+        self.releases.engine_runs(engine, sent_at, now)
         for attempt in list(self._undetected_closes.values()):
-            if attempt.engine == engine and asked_at >= attempt.announced_deadline:
+            if attempt.engine == engine and sent_at >= attempt.announced_deadline:
                 del self._undetected_closes[attempt.serial]
                 self._add_audit_entry(now, Fact.ENGINE_ALIVE, attempt)
 
     def _update_held_state(self) -> None:
-        """A state that a release has not ended, as far as is proven, waits for another."""
+        """Updates the status after an attempt: a state not proven to be gone needs another release."""
         if self.held_state and not self.releases.open:
             self.held_state.status = HeldStateStatus.RELEASED
         elif self.held_state and self.held_state.status in (
@@ -267,15 +272,15 @@
     # The held state.
 
     def on_leased(self, attempt: Attempt, now: int) -> None:
-        """The prefill has ended well."""
+        """A prefill attempt has succeeded: its engine holds the state."""
         self.held_state = HeldState(attempt.engine, prefill_serial=attempt.serial)
         self._holders[attempt.serial] = attempt.engine
         self.releases.leased(attempt.serial, now)
         self._add_audit_entry(now, Fact.LEASED, attempt)
 
     def on_first_token(self, attempt: Attempt, now: int) -> None:
-        """The first token came. A call that was to fetch the state has taken it; one that has read the prompt
-        itself says nothing of what may be held."""
+        """The first token has come. It proves that a FETCH attempt took the held state. An attempt that
+        prefilled the prompt itself proves nothing about a held state."""
         self.answer_started = True
         if attempt.work is not Work.FETCH:
             self.releases.begun(attempt.serial)
@@ -287,38 +292,38 @@
         self._add_audit_entry(now, Fact.FIRST_TOKEN, attempt)
 
     def on_state_gone(self) -> None:
-        """The engine that was asked to fetch it says that there is none. Its holder may only be cut off or
-        held up, and hold it still."""
+        """The decode engine reports that there is no state to fetch. The holder may only be cut off or
+        stalled and still hold it."""
         self.releases.gone()
         if self.held_state and self.is_leased:
             self.held_state.status = HeldStateStatus.POSSIBLE
 
     def request_release(self, now: int) -> None:
-        """The request needs no state any more, or its state has been held for long enough."""
+        """The request no longer needs a held state, or the lease of its state has expired."""
         self.releases.wanted(now, self.attempt is not None and self.attempt.cancelled)
 
     def on_release_sent(self, now: int) -> None:
-        """A release goes out; it proves nothing yet."""
+        """A release is about to be sent. It proves nothing until it is answered."""
         self.releases.sent(now)
         if self.held_state and self.held_state.status in (HeldStateStatus.POSSIBLE, HeldStateStatus.LEASED):
             self.held_state.status = HeldStateStatus.RELEASING
 
-    def on_release_answered(self, asked_at: int) -> bool:
-        """An engine has answered the release that it was sent then. True if nothing is held from now on."""
-        self._audit_entries.append(Entry(asked_at, Fact.RELEASE_ANSWERED))
-        over = self.releases.release_answered(asked_at)
-        if over:
+    def on_release_answered(self, sent_at: int) -> bool:
+        """An engine has answered a release sent at `sent_at`. Returns True if nothing is held any more."""
+        self._audit_entries.append(Entry(sent_at, Fact.RELEASE_ANSWERED))
+        proven_gone = self.releases.release_answered(sent_at)
+        if proven_gone:
             self._holders.clear()
-        if over and self.held_state and self.held_state.status is not HeldStateStatus.FETCHED:
+        if proven_gone and self.held_state and self.held_state.status is not HeldStateStatus.FETCHED:
             self.held_state.status = HeldStateStatus.RELEASED
-        return over
+        return proven_gone
 
     def _add_audit_entry(self, now: int, fact: Fact, attempt: Attempt) -> None:
         if self._holders or self._audit_entries:
             self._audit_entries.append(Entry(now, fact, attempt.serial))
 
     def check_overdue(self, now: int) -> bool:
-        """Checks, once, whether a state may have been held for too long; True if it may."""
+        """Reports, at most once, that a state may have been held for too long. Returns True if it did."""
         if self._overdue_reported or not self.held_state_limit or not self._audit_entries:
             return False
         held_for = longest_unconfirmed_hold(self._audit_entries, now, self.held_state_limit)
@@ -334,7 +339,7 @@
     # The final answer.
 
     def set_final_answer(self, answer: str, now: int) -> bool:
-        """The one place that a final answer passes. False: there was one already."""
+        """Records the final answer. Returns False if there was one already."""
         if self.final_answer:
             return False
         self.final_answer = answer
--- a/lifthead/held_audit.py
+++ b/lifthead/held_audit.py
@@ -1,9 +1,9 @@
-"""An invariant of the process: how long a state may have been held for a request with nothing arrived.
+"""Computes how long a state may have been held for a request while no decode attempt had arrived.
 
-It is computed from what went out and what came back alone, and shares no belief with the code that decides
-when releases are sent (lifthead/releases.py): whatever that code takes for the end of a state, a release that
-was sent beside an attempt in flight, or right after one was closed, ends nothing here. Pure; times are
-microseconds of one monotonic clock.
+The guard checks the result as an invariant. It is computed only from what was sent and what came back, and
+shares no assumption with the code that schedules releases (lifthead/releases.py): whatever that code takes as
+proof, a release that was sent while an attempt was in flight, or right after one was closed, does not end a
+held state here. No I/O; times are microseconds of one monotonic clock.
 """
 
 from enum import Enum
@@ -11,22 +11,22 @@
 
 
 class Fact(Enum):
-    """What went out for a request, and what came back."""
+    """What was sent for a request, and what came back."""
 
     PREFILL_SENT = "prefill_sent"
     DECODE_SENT = "call_sent"
-    LEASED = "read"  # a 202 came back: a state is held
-    ANSWERED = "answered"  # any other whole answer came back
-    NOT_RUN = "not_run"  # an answer, or a connection that failed, that proves that the attempt has not run
-    CLOSED = "closed"  # the connection ended before an answer was whole
-    PEER_CLOSED = "end_shown"  # the engine ended its side of a connection that was closed
-    ENGINE_ALIVE = "engine_runs"  # ... or has answered something else, past the time that it was told
+    LEASED = "read"  # a prefill attempt got 202: its engine holds a state
+    ANSWERED = "answered"  # any other complete answer came back
+    NOT_RUN = "not_run"  # an answer or a failed connection proves that the attempt did not run
+    CLOSED = "closed"  # the connection ended before the answer was complete
+    PEER_CLOSED = "end_shown"  # the engine closed its side of a connection that this end closed
+    ENGINE_ALIVE = "engine_runs"  # the engine answered a message sent after the announced deadline
     FIRST_TOKEN = "first_token"
-    RELEASE_ANSWERED = "release_taken"  # an engine answered 2xx; `at` is when it was asked
+    RELEASE_ANSWERED = "release_taken"  # an engine answered 2xx; `at` is when the release was sent
 
 
 class Entry(NamedTuple):
-    """One fact; `attempt` numbers attempts, -1 for a release."""
+    """One fact. `attempt` is the serial number of an attempt, -1 for a release."""
 
     at: int
     fact: Fact
@@ -35,16 +35,16 @@
 
 class _Audit:
     def __init__(self, time_limit: int) -> None:
-        self.close_detection_time = time_limit // 2  # an engine may see so late that a connection was closed
+        self.close_detection_time = time_limit // 2  # an engine may notice a close this late
         self.held_since: int | None = None
         self.longest_hold = 0
         self.in_flight: dict[int, Entry] = {}
         self.prefill_attempts: set[int] = set()
         self.closed_at: dict[int, int] = {}
-        self.undetected_closes: set[int] = set()  # closed attempts that an engine may have before it for long
-        self.kept_by_decode = False  # a release went out beside a call that may have kept the state
+        self.undetected_closes: set[int] = set()  # closed attempts that an engine may still process
+        self.kept_by_attempt = False  # a decode in flight may have kept the state from a release
 
-    def end_hold(self, at: int) -> None:
+    def record_hold(self, at: int) -> None:
         if self.held_since is not None:
             self.longest_hold = max(self.longest_hold, at - self.held_since)
 
@@ -53,20 +53,20 @@
         self.held_since = entry.at if self.held_since is None else self.held_since
 
     def on_ended(self, entry: Entry) -> None:
-        sent = self.in_flight.pop(entry.attempt, None)
+        sent_entry = self.in_flight.pop(entry.attempt, None)
         is_prefill = entry.attempt in self.prefill_attempts
-        if sent is None or (is_prefill and entry.fact is Fact.NOT_RUN):
+        if sent_entry is None or (is_prefill and entry.fact is Fact.NOT_RUN):
             return
         if entry.fact is Fact.CLOSED:
             self.closed_at[entry.attempt] = entry.at
             self.undetected_closes.add(entry.attempt)
         elif self.held_since is not None and not is_prefill:
-            self.held_since = entry.at  # the call had arrived: the time begins anew
-        if self.held_since is None and (is_prefill or self.kept_by_decode):
-            self.held_since, self.kept_by_decode = entry.at, False
+            self.held_since = entry.at  # the decode attempt had arrived: the time restarts
+        if self.held_since is None and (is_prefill or self.kept_by_attempt):
+            self.held_since, self.kept_by_attempt = entry.at, False
 
-    def on_engine_gave_up(self, entry: Entry) -> None:
-        """An engine that stood still goes on: what it had before it ends now, and leaves a state again."""
+    def on_close_handled(self, entry: Entry) -> None:
+        """The engine has handled a close. If it was paused until now, it may have left a state only now."""
         if (
             entry.attempt in self.undetected_closes
             and entry.fact is Fact.ENGINE_ALIVE
@@ -76,28 +76,28 @@
         self.undetected_closes.discard(entry.attempt)
 
     def on_first_token(self, entry: Entry) -> None:
-        sent = self.in_flight.pop(entry.attempt, None)
-        if sent is not None:
-            self.end_hold(sent.at)
+        sent_entry = self.in_flight.pop(entry.attempt, None)
+        if sent_entry is not None:
+            self.record_hold(sent_entry.at)
         prefill_closes = [at for number, at in self.closed_at.items() if number in self.prefill_attempts]
         self.closed_at = {
             number: at for number, at in self.closed_at.items() if number in self.prefill_attempts
         }
         self.undetected_closes &= self.prefill_attempts
-        self.held_since, self.kept_by_decode = max(prefill_closes, default=None), False
+        self.held_since, self.kept_by_attempt = max(prefill_closes, default=None), False
 
     def on_release_answered(self, entry: Entry) -> None:
-        undetected = [at for at in self.closed_at.values() if entry.at < at + self.close_detection_time]
-        decodes_beside = [sent for sent in self.in_flight.values() if sent.at <= entry.at]
-        self.end_hold(entry.at)
+        undetected_at = [at for at in self.closed_at.values() if entry.at < at + self.close_detection_time]
+        in_flight_then = [other for other in self.in_flight.values() if other.at <= entry.at]
+        self.record_hold(entry.at)
         if self.held_since is not None:
-            self.held_since = max(undetected, default=None)
-            self.kept_by_decode = bool(decodes_beside) and self.held_since is None
-        self.closed_at = {number: at for number, at in self.closed_at.items() if at in undetected}
+            self.held_since = max(undetected_at, default=None)
+            self.kept_by_attempt = bool(in_flight_then) and self.held_since is None
+        self.closed_at = {number: at for number, at in self.closed_at.items() if at in undetected_at}
 
 
 def longest_unconfirmed_hold(entries: list[Entry], now: int, time_limit: int) -> int:
-    """The longest time, up to now, for which a state may have been held while nothing had arrived."""
+    """Returns the longest time, up to now, for which a state may have been held while nothing had arrived."""
     audit = _Audit(time_limit)
     for entry in sorted(entries, key=lambda entry: entry.at):
         if entry.fact in (Fact.PREFILL_SENT, Fact.DECODE_SENT):
@@ -107,12 +107,12 @@
         elif entry.fact is Fact.LEASED:
             audit.on_leased(entry)
         elif entry.fact in (Fact.PEER_CLOSED, Fact.ENGINE_ALIVE):
-            audit.on_engine_gave_up(entry)
+            audit.on_close_handled(entry)
         elif entry.fact is Fact.FIRST_TOKEN:
             audit.on_first_token(entry)
         elif entry.fact is Fact.RELEASE_ANSWERED:
             audit.on_release_answered(entry)
         else:
             audit.on_ended(entry)
-    audit.end_hold(now)
+    audit.record_hold(now)
     return audit.longest_hold
--- a/lifthead/hosting.py
+++ b/lifthead/hosting.py
@@ -1,10 +1,10 @@
-"""What every program that hosts the decision module does alike: the daemon's host and the node's.
+"""The base class of the programs that host the decision module: the daemon's host and the node's.
 
-- `_answered` is the one place that a final answer passes, which makes a second one impossible;
-- an attempt that is in flight has one task, which the module cancels by the attempt's number;
-- wake-ups that the module asks for while it is told of a request go with the request;
-- every attempt, final answer and held state of a request passes its guard (lifthead/guard.py);
-- an attempt's connection is given back or closed before its ending is told.
+- Every final answer passes through `_set_final_answer`, which makes a second one impossible.
+- An attempt in flight has one task, which the decision module cancels by the attempt's number.
+- Timers that the decision module sets while it handles a request are cancelled with the request.
+- Every attempt, final answer and held state is reported to the guard of its request (lifthead/guard.py).
+- The connection of an attempt is returned or closed before its outcome is reported.
 """
 
 import asyncio
@@ -28,73 +28,73 @@
 
 log = logging.getLogger(__name__)
 
-# Observations of a whole answer, after which its connection may be used again.
+# Observations of a complete answer, after which the connection can be reused.
 REUSABLE = (Observation.READ, Observation.WRITTEN, Observation.TURNED_AWAY, Observation.STATE_GONE)
-# ... after which its engine is done with the attempt.
+# Observations after which the engine has finished the attempt.
 ANSWERED = (*REUSABLE, Observation.REFUSED_UNMARKED)
 
-PEER_CLOSE_TIMEOUT = 1.0  # seconds for an engine to end its side of a connection that was closed here
-PEER_CLOSE_MAX_BYTES = 65_536  # that may still come on it
-READ_LAG = 20_000  # microseconds in which a process that is not held up reads what has come
-AUDIT_DELAY = 500_000  # microseconds past the time allowed in which the last of a held state is judged
+PEER_CLOSE_TIMEOUT = 1.0  # seconds for an engine to close its side of a connection that this end closed
+PEER_CLOSE_MAX_BYTES = 65_536  # that may still arrive on it
+READ_LAG = 20_000  # microseconds in which a process that is not stalled reads what has arrived
+AUDIT_DELAY = 500_000  # microseconds by which the check of held states lags behind
 
-# Turns of the event loop in which it looks at its sockets, reads them, and runs the tasks that wait for that.
+# Turns of the event loop to poll its sockets, read them, and run the tasks that wait for the data.
 LOOP_TURNS_TO_READ = 3
 
 
 def now() -> int:
-    """This machine's own clock, whole microseconds."""
+    """Returns the monotonic clock of this machine in whole microseconds."""
     return time.monotonic_ns() // 1000
 
 
 def wall_clock_offset() -> int:
-    """What the wall clock, which machines share, is ahead of this machine's own."""
+    """Returns by how much the wall clock, which machines share, is ahead of the monotonic one."""
     return time.time_ns() // 1000 - now()
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class AttemptInFlight(Attempt):
-    """An attempt in flight, with the task that carries it."""
+    """An attempt in flight and the task that runs it."""
 
     task: asyncio.Task | None = None
     started: bool = False
-    peer_closed: bool = False  # the engine ended its side of the connection first
+    peer_closed: bool = False  # the engine closed its side of the connection first
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class PendingRequest:
-    """A request that was taken and whose attempts are not all over."""
+    """An accepted request that has no final answer yet or still has an attempt in flight."""
 
     id: int
     reply: Reply
     guard: RequestGuard
-    attempt: Any = None  # its AttemptInFlight, while one is
+    attempt: Any = None  # the AttemptInFlight, if there is one
     attempts: int = 0
     answer_started: bool = False
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
 
     @property
     def final_answer(self) -> str:
-        """The final answer in one word, "" if there is none yet."""
+        """The final answer in one word; empty if there is none yet."""
         return self.guard.final_answer
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """An engine as the host knows it: how to get there, and whether it may get anything new."""
+    """An engine as the host knows it: its connections, and whether it accepts new work."""
 
     link: Link
     kind: str
     readiness: str
     readiness_since: int
-    last_answered_sent_at: int = field(
-        default=0, kw_only=True
-    )  # when the latest was sent that it has answered
+    # When the latest message that the engine has answered was sent.
+    last_answered_sent_at: int = field(default=0, kw_only=True)
 
 
 class BaseHost:
-    """The part of a host that the module's calls meet first. A program's own host adds how an attempt is
-    carried, how a final answer is worded, and what it writes down."""
+    """The part of a host that implements the calls of the decision module.
+
+    Subclasses add how an attempt is run, how a final answer is worded, and what is logged."""
 
     attempt_type = AttemptInFlight
     endpoint_type = Endpoint
@@ -112,15 +112,13 @@
         self._roles = deployment.roles
         self._loop = asyncio.get_running_loop()
         self._next_id = 1
-        self._timer_owner: PendingRequest | None = None  # the request that the module is being told of
+        self._timer_owner: PendingRequest | None = None  # the request that the module is handling
         self._stopped = False
         self._release_tasks = ReleaseTasks(now, self._spawn, self._send_releases, self._confirm_alive)
-        self._half_closed: dict[
-            Connection, None
-        ] = {}  # closed here, and not yet known to be there; oldest first
-        self._finished_guards: deque[tuple[int, RequestGuard]] = (
-            deque()
-        )  # ... whose held states are still judged
+        # Connections that this end has closed and the engine has not yet; oldest first.
+        self._half_closed: dict[Connection, None] = {}
+        # Guards of forgotten requests whose held states are still checked, with the time of the last check.
+        self._finished_guards: deque[tuple[int, RequestGuard]] = deque()
         self.start_times = StartTimes(wall_clock_offset())
 
     def _link(self, address: str) -> Link:
@@ -130,13 +128,13 @@
         raise NotImplementedError
 
     def queueing_time(self, message: Message) -> int:
-        """Microseconds since a message's last byte came, behind others of its connection: its client counts
-        them."""
+        """Returns the microseconds since a message arrived, which it spent behind others on its connection.
+        They count against the client's budget."""
         return int((self._loop.time() - message.received_at) * 1e6)
 
     @contextlib.contextmanager
     def _timers_belong_to(self, pending: PendingRequest) -> Iterator[None]:
-        """The module is told of this request: timers that it asks for meanwhile go with the request."""
+        """Attaches the timers that the decision module sets in this context to the request."""
         self._timer_owner = pending
         try:
             yield
@@ -144,35 +142,37 @@
             self._timer_owner = None
 
     def _place_request(self, demand: Demand, pending: PendingRequest) -> None:
-        """Has the module place a request."""
+        """Passes a request to the decision module to place."""
         with self._timers_belong_to(pending):
             self.router.on_req(demand)
 
     # The list of engines.
 
     def _update_endpoint(self, name: str, address: str, kind: str, readiness: str, at: int) -> Any:
-        """An entry of the list: the way there, anew where the address changed, and since when it drains."""
-        known = self.endpoints.get(name)
-        if known is None or known.link.address != address:
-            if known:
-                known.link.close()
-            known = self.endpoints[name] = self.endpoint_type(self._link(address), kind, readiness, at)
-        elif known.readiness != readiness:
-            known.readiness, known.readiness_since = readiness, at
-        known.kind = kind  # an engine may be back as another
-        return known
-
-    def _mark_missing_gone(self, named: set[str], at: int) -> None:
-        """The whole list has come: what it leaves out counts as gone."""
+        """Applies an entry of the list. A changed address gets a new link."""
+        endpoint = self.endpoints.get(name)
+        if endpoint is None or endpoint.link.address != address:
+            if endpoint:
+                endpoint.link.close()
+            endpoint = self.endpoints[name] = self.endpoint_type(self._link(address), kind, readiness, at)
+        elif endpoint.readiness != readiness:
+            endpoint.readiness, endpoint.readiness_since = readiness, at
+        endpoint.kind = kind  # an engine may return as another kind
+        return endpoint
+
+    def _mark_missing_gone(self, listed: set[str], at: int) -> None:
+        """Marks the engines that a complete list leaves out as gone."""
         for name, endpoint in self.endpoints.items():
-            if name not in named and endpoint.readiness != "gone":
+            if name not in listed and endpoint.readiness != "gone":
                 endpoint.readiness, endpoint.readiness_since = "gone", at
 
     def _check_before_sending(
         self, pending: Any, attempt: AttemptInFlight, endpoint: Endpoint
     ) -> Observation | None:
-        """What has come between an attempt and its sending while its connection came up: None if nothing has.
-        What tells the loop that a client left may wait behind other work, so the system is asked."""
+        """Returns why an attempt must not be sent although its connection is up, or None if it is sent now.
+
+        The event loop may not have noticed yet that the client disconnected, so the operating system is
+        asked."""
         refusal = pending.guard.refusal(attempt, now(), endpoint.readiness == "ready", pending.reply.gone)
         if refusal is None:
             pending.guard.on_sending(attempt, now(), endpoint.readiness == "ready")
@@ -185,16 +185,17 @@
             else Observation.STALE
         )
 
-    def _new_guard(self, request: str, group: str, budget: int) -> RequestGuard:
-        effect = self._request_classes[group].effect
+    def _new_guard(self, request: str, request_class: str, budget: int) -> RequestGuard:
+        effect = self._request_classes[request_class].effect
         return RequestGuard(request, effect, now() + budget, self._held_state_limit, self.violations)
 
     def _on_violation(self, rule: Rule, request: str, why: str) -> None:
-        """An invariant is broken: to be logged with all that is known of the request."""
+        """Reports a violated invariant with all that is known about the request."""
         raise NotImplementedError
 
     def _on_attempt_ended(self, pending: Any, attempt: AttemptInFlight, observation: Observation) -> None:
-        """An attempt is over. A state that it may have left, or kept from being released, is released."""
+        """Reports the end of an attempt to the guard, and releases a state that it may have left or
+        retained."""
         pending.guard.on_ended(attempt, now(), observation in PROVEN_NOT_RUN, observation in ANSWERED)
         pending.attempt = None
         if attempt.peer_closed:
@@ -204,26 +205,26 @@
     def _on_client_gone(self, pending: Any) -> None:
         raise NotImplementedError
 
-    # What the module does.
+    # Calls of the decision module.
 
     def now(self) -> int:
         return now()
 
     def wake(self, after: int, label: int) -> None:
         timer = self._loop.call_later(max(after, 0) / 1e6, self._fire, label)
-        if self._timer_owner:  # a timer for a request is of no use once the request is over
+        if self._timer_owner:  # a request's timers are cancelled when it is over
             self._timer_owner.timers.append(timer)
 
-    def _fire(self, label: int, turns: int = LOOP_TURNS_TO_READ) -> None:
-        """What the system held while this process had no turn is read first: a call that looks unanswered
-        may have its answer there."""
-        if turns:
-            self._loop.call_soon(self._fire, label, turns - 1)
+    def _fire(self, key: int, turns_left: int = LOOP_TURNS_TO_READ) -> None:
+        """Fires a timer, but first lets the event loop read what has arrived while this process was stalled:
+        an attempt that looks unanswered may have its answer there."""
+        if turns_left:
+            self._loop.call_soon(self._fire, key, turns_left - 1)
         elif not self._stopped:
             try:
-                self.router.on_wake(label)
+                self.router.on_wake(key)
             except Exception:
-                log.exception("wake-up %d", label)
+                log.exception("timer %d failed", key)
 
     def forward(self, req: int, engine: str, abandon_at: int, send_by: int) -> None:
         pending, at = self.pending_requests[req], now()
@@ -245,30 +246,31 @@
         )
 
     async def _run_attempt_safely(self, pending: Any, attempt: AttemptInFlight, abandon_at: int) -> None:
-        """A fault of ours in one request ends neither the process nor the request without an answer."""
+        """Runs an attempt. A bug that one request meets must neither end the process nor leave it
+        unanswered."""
         try:
             await self._run_attempt(pending, attempt, abandon_at)
         except Exception:
-            log.exception("an attempt of %s at %s", pending.guard.request, attempt.engine)
+            log.exception("attempt of request %s at engine %s failed", pending.guard.request, attempt.engine)
             if pending.attempt is attempt:
                 self._on_attempt_ended(pending, attempt, Observation.CUT)
             self._fail_request(pending)
 
     def _fail_request(self, pending: Any) -> None:
-        """The final answer where the module can't be asked any more."""
+        """Fails a request after an internal error, without asking the decision module."""
         self.abort(pending.id)
         self.free_state(pending.id)
         self.router.forget(pending.id)
         self._forget(pending)
 
-    def _spawn(self, work: Coroutine[Any, Any, None], what: str) -> asyncio.Task[None]:
-        """A task of the process that may fail without ending it."""
+    def _spawn(self, coroutine: Coroutine[Any, Any, None], description: str) -> asyncio.Task[None]:
+        """Starts a background task that may fail without ending the process."""
 
         async def safely() -> None:
             try:
-                await work
+                await coroutine
             except Exception:
-                log.exception("%s", what)
+                log.exception("%s failed", description)
 
         return self._tasks.create_task(safely())
 
@@ -278,7 +280,7 @@
         return Work.FETCH if pending.guard.is_leased else Work.PREFILL_AND_DECODE
 
     def _check_slow_start(self, pending: Any, name: str, at: int) -> None:
-        """A cold engine gets no more than this router's part, which is counted when the attempt is placed."""
+        """Checks that a cold engine gets no more than this router's slow-start budget, counted at placing."""
         engine = self.router.engines.get(name)
         if engine and at < engine.cold_until and engine.cold_credit < 0:
             self.violations.add(Rule.SLOW_START, pending.guard.request, f"{name}: {engine.cold_credit:.2f}")
@@ -301,27 +303,27 @@
             self._release_tasks.update(pending.guard)
 
     async def _send_releases(self, guard: RequestGuard) -> int:
-        """Asks engines to release what is held for a request. When the question that was answered was sent; 0
-        if none was."""
+        """Asks engines to release what is held for a request. Returns when the answered message was sent, 0
+        if none was answered."""
         raise NotImplementedError
 
     async def _confirm_alive(self, engine: str, guard: RequestGuard, since: int) -> int:
-        """When something was sent to an engine, at `since` or later, that it has answered; asks it where
-        nothing was. 0 if it does not answer."""
+        """Returns when a message that an engine has answered was sent, at `since` or later. Pings the engine
+        if there was none; 0 if it does not answer."""
         endpoint = self.endpoints.get(engine)
         if endpoint is None or endpoint.readiness == "gone":
-            return now()  # its process has ended, and what it did with it
+            return now()  # its process has ended, and its work with it
         if endpoint.last_answered_sent_at >= since:
             return endpoint.last_answered_sent_at
-        began = now()
-        return began if await self._ping(engine, guard) else 0
+        sent_at = now()
+        return sent_at if await self._ping(engine, guard) else 0
 
     async def _ping(self, engine: str, guard: RequestGuard) -> bool:
-        """Asks an engine something harmless, on a connection of its own."""
+        """Returns whether an engine answers a harmless message on a new connection."""
         raise NotImplementedError
 
     def watch_engines(self) -> None:
-        """The list is pushed: its follower asks again by itself."""
+        """Does nothing: the list is pushed, and its watch reconnects by itself."""
 
     # The end of an attempt and of a request.
 
@@ -333,20 +335,26 @@
         connection: Connection | None,
         observation: Observation,
     ) -> None:
-        """An attempt's connection is given back after a whole answer, else closed. Where its engine may go on
-        to hold a state for it, only the sending ends at first, so that the engine's own end can be seen."""
+        """Returns the connection of an attempt for reuse after a complete answer, and closes it otherwise.
+
+        If the engine may still come to hold a state, the connection is only half-closed at first, so that the
+        engine's own close can be seen."""
         if connection is None:
             return
         if observation in REUSABLE:
             endpoint.link.give(connection)
             return
-        may_hold = attempt.may_have_arrived and pending.guard.releases.open and not pending.answer_started
-        if may_hold and observation not in ANSWERED:
+        may_hold_state = (
+            attempt.may_have_arrived and pending.guard.releases.open and not pending.answer_started
+        )
+        if may_hold_state and observation not in ANSWERED:
             attempt.peer_closed = connection.ended
             if not attempt.peer_closed and connection.end_sending():
                 self._half_closed[connection] = None
-                end = self._await_peer_close(pending.guard, attempt, connection)
-                self._spawn(end, f"the end of a connection of {pending.guard.request}")
+                peer_close = self._await_peer_close(pending.guard, attempt, connection)
+                self._spawn(
+                    peer_close, f"the wait for the peer to close a connection of {pending.guard.request}"
+                )
                 return
         connection.abort()
         with contextlib.suppress(Exception, asyncio.CancelledError):
@@ -355,7 +363,7 @@
     async def _await_peer_close(
         self, guard: RequestGuard, attempt: AttemptInFlight, connection: Connection
     ) -> None:
-        """Waits for the engine to end its side of a connection on which the sending has ended."""
+        """Waits for the engine to close its side of a half-closed connection."""
         if (
             await connection.ends(PEER_CLOSE_TIMEOUT, PEER_CLOSE_MAX_BYTES)
             and connection in self._half_closed
@@ -366,18 +374,19 @@
         connection.abort()
 
     def _drop_half_closed(self) -> None:
-        """Closes the oldest connection whose end at its engine is waited for: descriptors are short."""
+        """Closes the oldest half-closed connection, to free a file descriptor."""
         connection = next(iter(self._half_closed))
         del self._half_closed[connection]
         connection.abort()
 
-    def _set_final_answer(self, pending: PendingRequest, ended: str) -> bool:
-        """The one place that a final answer passes. False: there was one already."""
-        return pending.guard.set_final_answer(ended, now())
+    def _set_final_answer(self, pending: PendingRequest, answer: str) -> bool:
+        """Records the final answer. Every final answer passes here. Returns False if there was one
+        already."""
+        return pending.guard.set_final_answer(answer, now())
 
     async def check_held_states_on_time(self) -> None:
-        """Looks for states that are held for too long, once this process has had its turns in time: after a
-        stall, what came meanwhile is read first, the answer to a release among it."""
+        """Checks for states that are held for too long, once this process runs on time: after a stall, what
+        has arrived meanwhile is read first, because it may include the answer to a release."""
         while True:
             due_at = now() + READ_LAG
             await asyncio.sleep(READ_LAG / 1e6)
@@ -385,8 +394,10 @@
                 return self.check_held_states()
 
     def check_held_states(self, at_exit: bool = False) -> None:
-        """Looks for states that are held for too long; to be called now and then, and at the exit. Until then
-        what was asked lately may still be answered, and counts from when it was asked."""
+        """Checks for states that are held for too long. To be called periodically and at exit.
+
+        Except at exit the check lags by AUDIT_DELAY: a recent release may still be answered, and then counts
+        from when it was sent."""
         at = now() if at_exit else now() - AUDIT_DELAY
         for pending in self.pending_requests.values():
             pending.guard.check_overdue(at)
@@ -396,7 +407,8 @@
             self._finished_guards.popleft()[1].check_overdue(at)
 
     def _forget(self, pending: PendingRequest) -> bool:
-        """Lets go of a request that has its answer and no attempt out; True if it did so now."""
+        """Forgets a request that has its final answer and no attempt in flight. Returns whether it did so
+        now."""
         if not pending.final_answer or pending.attempt or self.pending_requests.pop(pending.id, None) is None:
             return False
         if not self.pending_requests:
--- a/lifthead/http1.py
+++ b/lifthead/http1.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 as plain objects: bytes in, messages out. Sockets and time-outs are the callers'.
+"""Parses and encodes HTTP/1.1 messages. Callers own the sockets and the timeouts.
 
-Parsing is httptools' (docs/performance.md has the measurement against h11); the bounds are ours.
+httptools does the parsing (docs/performance.md compares it with h11); this module bounds the sizes.
 """
 
 import re
@@ -10,16 +10,16 @@
 
 import httptools
 
-Headers = dict[str, str]  # names in lower case; of a name that stands twice, values joined by commas
+Headers = dict[str, str]  # names in lower case; the values of a repeated name are joined by commas
 
 
 _HOST = re.compile(r"[0-9A-Za-z._-]{1,253}").fullmatch
 _PORT = re.compile(r"[0-9]{1,5}").fullmatch
-MAX_INFORMATIONAL = 8  # answers of 1xx before the one that was asked for
+MAX_INFORMATIONAL = 8  # informational answers (1xx) accepted before the final one
 
 
 class HttpError(Exception):
-    """The peer's bytes can't be used; carries the status to answer with."""
+    """The peer sent bytes that can't be used. `status` is the one to answer with."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """One whole HTTP req, or the head of an answer."""
+    """A complete HTTP request, or the head of an answer."""
 
     method: str = ""
     path: str = ""
@@ -37,11 +37,11 @@
     headers: Headers = field(default_factory=dict)
     body: bytes = b""
     keep_alive: bool = True
-    received_at: float = 0.0  # when its last byte came, by the clock of whoever feeds the parser
+    received_at: float = 0.0  # when its last byte came, on the clock of the parser's caller
 
 
 class _Parser:
-    """What both directions share: headers, and the bound on their size."""
+    """The part that both directions share: headers and the bound on their size."""
 
     def __init__(self, header_bytes: int, body_bytes: int) -> None:
         self._max_header_bytes, self._max_body_bytes = header_bytes, body_bytes
@@ -53,7 +53,7 @@
 
     @property
     def partial(self) -> bool:
-        """Whether some bytes of an unfinished message have come."""
+        """Whether part of an incomplete message has come."""
         return self._head_bytes > 0
 
     @property
@@ -64,16 +64,16 @@
         self._head_bytes += len(name) + len(value) + 4
         if self._head_bytes > self._max_header_bytes:
             raise HttpError(431, f"headers are over {self._max_header_bytes} bytes")
-        key, text = name.decode("latin-1").lower(), value.decode("latin-1")
-        before = self._message.headers.get(key)
-        self._message.headers[key] = text if before is None else f"{before}, {text}"
+        name_text, value_text = name.decode("latin-1").lower(), value.decode("latin-1")
+        previous = self._message.headers.get(name_text)
+        self._message.headers[name_text] = value_text if previous is None else f"{previous}, {value_text}"
 
     def on_headers_complete(self) -> None:
         self._in_head = False
         self._message.keep_alive = self._llhttp.should_keep_alive()
 
     def feed(self, data: bytes) -> None:
-        """Takes the peer's next bytes; HttpError if they break the protocol or a bound."""
+        """Parses the peer's next bytes. Raises HttpError if they break the protocol or exceed a bound."""
         head = self._message if self._in_head else None
         try:
             self._llhttp.feed_data(data)
@@ -85,7 +85,7 @@
                 raise cause from None
             raise HttpError(400, f"not HTTP: {str(error)[:120]}") from None
         if self._in_head and self._message is head:
-            # Guards against one header without end, of which no callback tells before it is whole.
+            # Bounds a single endless header: httptools calls back only once a header is complete.
             self._head_bytes_fed += len(data)
             if self._head_bytes_fed > self._max_header_bytes:
                 raise HttpError(431, f"headers are over {self._max_header_bytes} bytes")
@@ -139,7 +139,7 @@
         self._message.method = self._llhttp.get_method().decode("latin-1")
         self._message.body = b"".join(self._body_parts)
         self._message.received_at = self._received_at
-        self._body_parts = []  # a kept connection holds nothing of what went over it
+        self._body_parts = []  # an idle keep-alive connection keeps no body in memory
         self.requests.append(self._message)
         self._reset()
 
@@ -147,8 +147,8 @@
 class AnswerParser(_Parser):
     """Parses one answer on a client's connection.
 
-    `head` is set once the head is complete, and `complete` at the end of the body. Informational answers (1xx)
-    are skipped. `has_surplus` is set when bytes follow the end of the answer: they belong to no request."""
+    `head` is set once the head is complete, `complete` at the end of the body. Informational answers (1xx)
+    are skipped. `has_surplus` is set when bytes follow the end of the answer, which belong to no request."""
 
     def __init__(self, header_bytes: int = 65_536, chunk_bytes: int = 1 << 30) -> None:
         self._llhttp = httptools.HttpResponseParser(self)
@@ -179,7 +179,7 @@
             return
         self._informational += 1
         if self._message.status == 101 or self._informational > MAX_INFORMATIONAL:
-            raise HttpError(502, "an answer that only announces others")
+            raise HttpError(502, "too many informational answers")
 
     def on_chunk_header(self) -> None:
         self._chunk_bytes = 0
@@ -189,7 +189,7 @@
             return
         self._chunk_bytes += len(data)
         if self._chunk_bytes > self._max_chunk_bytes:
-            raise HttpError(502, f"a chunk is over {self._max_chunk_bytes} bytes")
+            raise HttpError(502, f"a chunk exceeds {self._max_chunk_bytes} bytes")
         self._body_parts.append(data)
 
     def on_message_complete(self) -> None:
@@ -197,7 +197,7 @@
             self.complete = True
 
     def feed(self, data: bytes) -> None:
-        """As with any message; what follows a whole answer is marked and never an error."""
+        """Parses the next bytes. Bytes after a complete answer set `has_surplus` and are never an error."""
         if self.complete:
             self.has_surplus = True
             return
@@ -209,13 +209,13 @@
             self.has_surplus = True
 
     def body(self) -> bytes:
-        """What has come of the body since the last call."""
+        """Returns the part of the body that has come since the last call."""
         data, self._body_parts = b"".join(self._body_parts), []
         return data
 
 
 class LineParser:
-    """The lines of one answer's body, as its bytes come."""
+    """Splits the body of one answer into lines as its bytes come."""
 
     def __init__(self, max_line_bytes: int) -> None:
         self.answer = AnswerParser()
@@ -224,35 +224,35 @@
 
     def feed(self, data: bytes) -> list[bytes]:
         """Returns the lines that are complete now. Raises HttpError if the bytes break the protocol or a line
-        is over `max_line_bytes`."""
+        exceeds `max_line_bytes`."""
         self.answer.feed(data)
         *lines, self._partial_line = (self._partial_line + self.answer.body()).split(b"\n")
         if len(self._partial_line) > self._max_line_bytes:
-            raise HttpError(502, f"a line is over {self._max_line_bytes} bytes")
+            raise HttpError(502, f"a line exceeds {self._max_line_bytes} bytes")
         return lines
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """HOST:PORT; ValueError if it is none, or one that no connection could be asked for."""
+    """Parses HOST:PORT. Raises ValueError if it is malformed or can't be connected to."""
     host, _, port = text.rpartition(":")
-    # Anything else fails otherwise than by OSError when it is connected to.
+    # Connecting to any other host name fails with an exception other than OSError.
     usable = _HOST(host) and max(map(len, host.split("."))) < 64
     if not usable or not _PORT(port) or not 0 <= int(port) < 65_536:
-        raise ValueError(f"{text!r:.60} is no address, expected HOST:PORT")
+        raise ValueError(f"{text!r:.60} is not an address, expected HOST:PORT")
     return host, int(port)
 
 
-def encode_head(first: str, headers: Headers) -> bytes:
-    lines = [first, *(f"{name}: {value}" for name, value in headers.items())]
+def encode_head(start_line: str, headers: Headers) -> bytes:
+    lines = [start_line, *(f"{name}: {value}" for name, value in headers.items())]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1", "replace")
 
 
 def encode_answer_head(status: int, headers: Headers) -> bytes:
     try:
-        phrase = HTTPStatus(status).phrase
+        reason_phrase = HTTPStatus(status).phrase
     except ValueError:
-        phrase = "-"
-    return encode_head(f"HTTP/1.1 {status} {phrase}", headers)
+        reason_phrase = "-"
+    return encode_head(f"HTTP/1.1 {status} {reason_phrase}", headers)
 
 
 def encode_chunk(data: bytes) -> bytes:
--- a/lifthead/instance_settings.py
+++ b/lifthead/instance_settings.py
@@ -1,7 +1,8 @@
-"""The settings of an instance, as the simulator's first message and a node's configuration give them.
+"""Parses the settings of an instance of the decision module.
 
-One reader for both: the message is pairs of path and value, and a configuration's nested JSON is laid out
-as the same pairs first. Standard library alone. It translates and nothing else.
+They come in the simulator's first message or in a node's configuration file. The message holds pairs of path
+and value; the nested JSON of a configuration is flattened to the same pairs first, so that one parser serves
+both. Standard library only.
 """
 
 import contextlib
@@ -13,14 +14,16 @@
 EFFECTS = {"safe": Effect.REPLAYABLE, "keyed": Effect.KEYED, "unsafe": Effect.NON_REPLAYABLE}
 ROLES = {role: role for role in ("read", "write", "both")}
 IDEMPOTENCY_SCOPES = {place: place for place in ("all", "zone", "cell")}
-REPORTS_ON_PROBE = {"inline": False, "on_probe": True, "off": False}  # how load reports come
-LIST_ON_REQUEST = {"pushed": False, "on_request": True}  # how the list of engines does
+# Whether load reports come only in answers to probes.
+REPORTS_ON_PROBE = {"inline": False, "on_probe": True, "off": False}
+# Whether the list of engines comes only on request.
+LIST_ON_REQUEST = {"pushed": False, "on_request": True}
 
 Fields = dict[str, str]
 
 
 class MalformedError(Exception):
-    """The input breaks the wire's form."""
+    """The input is not in the expected format."""
 
 
 def int_field(fields: Fields, key: str, default: int | None = None) -> int:
@@ -60,12 +63,14 @@
     return table[value]
 
 
-def flatten(nested: dict[str, Any], at: str = "") -> Fields:
-    """Nested JSON as the pairs of the simulator's first message: lists of plain values joined by commas,
-    lists of objects under their indexes with a count."""
+def flatten(nested: dict[str, Any], prefix: str = "") -> Fields:
+    """Flattens nested JSON to pairs of path and value, as in the simulator's first message.
+
+    Items of a list of plain values are joined by commas. For a list of objects there is a count, and the path
+    of each object contains its index."""
     pairs: Fields = {}
     for key, value in nested.items():
-        path = at + key
+        path = prefix + key
         if isinstance(value, dict):
             pairs.update(flatten(value, path + "."))
         elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
@@ -83,9 +88,9 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def parse_deployment(env: Fields) -> Deployment:
+def parse_deployment(settings: Fields) -> Deployment:
     def list_field(key: str) -> list[str]:
-        return [part for part in env.get(key, "").split(",") if part]
+        return [part for part in settings.get(key, "").split(",") if part]
 
     def int_item(values: list[str], index: int, key: str) -> int:
         return int_field({key: values[index]}, key) if index < len(values) else 0
@@ -94,54 +99,57 @@
         list_field("FamilyInfo.AimUsPer1000PromptTokens"),
         list_field("FamilyInfo.TokenAim"),
     )
-    groups = {}
-    for index in range(int_field(env, "Grades.count")):
-        at = f"Grades.{index}."
-        name = required_field(env, at + "Name")
-        groups[name] = EndpointGroup(
+    request_classes = {}
+    for index in range(int_field(settings, "Grades.count")):
+        prefix = f"Grades.{index}."
+        name = required_field(settings, prefix + "Name")
+        request_classes[name] = EndpointGroup(
             name=name,
-            effect=lookup_field(EFFECTS, env, at + "Effect"),
-            keyed_within=lookup_field(IDEMPOTENCY_SCOPES, env, at + "Group", "all"),
-            keyed_for=int_field(env, at + "KeyTtl", 0),
-            target=int_field(env, at + "Target", 0),
+            effect=lookup_field(EFFECTS, settings, prefix + "Effect"),
+            keyed_within=lookup_field(IDEMPOTENCY_SCOPES, settings, prefix + "Group", "all"),
+            keyed_for=int_field(settings, prefix + "KeyTtl", 0),
+            target=int_field(settings, prefix + "Target", 0),
             target_per_1000=int_item(ttft_per_1000, index, "AimUsPer1000PromptTokens"),
-            deadline=int_field(env, at + "Deadline", 0),
+            deadline=int_field(settings, prefix + "Deadline", 0),
             token_target=int_item(tpot_targets, index, "TokenAim"),
-            importance=float_field(env, at + "Worth", 1.0),
-            late_share=float_field(env, at + "LateWorth", 0.0),
+            importance=float_field(settings, prefix + "Worth", 1.0),
+            late_share=float_field(settings, prefix + "LateWorth", 0.0),
         )
     tenants = {}
-    for index in range(int_field(env, "Tenants.count", 0)):
-        name = required_field(env, f"Tenants.{index}.Name")
-        tenants[name] = Tenant(name, float_field(env, f"Tenants.{index}.QuotaPerS", 0.0))
-    at = "FamilyInfo.RoleByKind"
-    kinds, roles = list_field("Flavors"), list_field(at)
-    memory = list_field("FamilyInfo.KvTokens")
+    for index in range(int_field(settings, "Tenants.count", 0)):
+        name = required_field(settings, f"Tenants.{index}.Name")
+        tenants[name] = Tenant(name, float_field(settings, f"Tenants.{index}.QuotaPerS", 0.0))
+    roles_key = "FamilyInfo.RoleByKind"
+    kinds, roles = list_field("Flavors"), list_field(roles_key)
+    kv_tokens = list_field("FamilyInfo.KvTokens")
     if not kinds:
         raise MalformedError("Flavors is missing")
     if len(roles) != len(kinds):
-        raise MalformedError(f"{at} names {len(roles)} roles for {len(kinds)} Flavors")
+        raise MalformedError(f"{roles_key} names {len(roles)} roles for {len(kinds)} Flavors")
     return Deployment(
-        zone=env.get("Zone", ""),
-        routers=max(1, int_field(env, "ReplicasOfMe", 1)),
-        tick=int_field(env, "Tick", 0),
-        seed=int_field(env, "Nonce64", 0),
-        groups=groups,
+        zone=settings.get("Zone", ""),
+        routers=max(1, int_field(settings, "ReplicasOfMe", 1)),
+        tick=int_field(settings, "Tick", 0),
+        seed=int_field(settings, "Nonce64", 0),
+        groups=request_classes,
         tenants=tenants,
-        roles={kind: lookup_field(ROLES, {at: role}, at) for kind, role in zip(kinds, roles, strict=True)},
-        memory={kind: int_item(memory, index, "KvTokens") for index, kind in enumerate(kinds)},
-        writers_read=bool_field(env, "FamilyInfo.LocalRead"),
-        let_go_by=int_field(env, "FamilyInfo.LetGoBy", 0),
-        cold_share=float_field(env, "Rules.ColdShare", 1.0),
-        warm_within=int_field(env, "Rules.WarmWithin", 0),
-        tip_multiple=float_field(env, "Rules.TipMultiple", 1.0),
-        overload_for=int_field(env, "Rules.OverloadFor", 0),
-        max_forwards=int_field(env, "PolicyLimits.MaxAttempts", 1),
-        may_cancel=bool_field(env, "PolicyLimits.Cancel"),
-        may_probe=bool_field(env, "PolicyLimits.Probes"),
-        may_hold_off=bool_field(env, "PolicyLimits.RetryAfter"),
-        max_hold_off=int_field(env, "PolicyLimits.MaxRetryAfter", 0),
-        reports_on_probe=lookup_field(REPORTS_ON_PROBE, env, "LoadInfo.Via", "off"),
-        must_ask=lookup_field(LIST_ON_REQUEST, env, "MembershipMode", "pushed"),
-        ask_within=int_field(env, "Rules.MustAskIn", 0),
+        roles={
+            kind: lookup_field(ROLES, {roles_key: role}, roles_key)
+            for kind, role in zip(kinds, roles, strict=True)
+        },
+        memory={kind: int_item(kv_tokens, index, "KvTokens") for index, kind in enumerate(kinds)},
+        writers_read=bool_field(settings, "FamilyInfo.LocalRead"),
+        let_go_by=int_field(settings, "FamilyInfo.LetGoBy", 0),
+        cold_share=float_field(settings, "Rules.ColdShare", 1.0),
+        warm_within=int_field(settings, "Rules.WarmWithin", 0),
+        tip_multiple=float_field(settings, "Rules.TipMultiple", 1.0),
+        overload_for=int_field(settings, "Rules.OverloadFor", 0),
+        max_forwards=int_field(settings, "PolicyLimits.MaxAttempts", 1),
+        may_cancel=bool_field(settings, "PolicyLimits.Cancel"),
+        may_probe=bool_field(settings, "PolicyLimits.Probes"),
+        may_hold_off=bool_field(settings, "PolicyLimits.RetryAfter"),
+        max_hold_off=int_field(settings, "PolicyLimits.MaxRetryAfter", 0),
+        reports_on_probe=lookup_field(REPORTS_ON_PROBE, settings, "LoadInfo.Via", "off"),
+        must_ask=lookup_field(LIST_ON_REQUEST, settings, "MembershipMode", "pushed"),
+        ask_within=int_field(settings, "Rules.MustAskIn", 0),
     )
--- a/lifthead/release_tasks.py
+++ b/lifthead/release_tasks.py
@@ -1,6 +1,7 @@
-"""Carries out what lifthead/releases.py schedules: one task for each request that may have left a state.
+"""Runs the release schedules of lifthead/releases.py, one task for each request that may have left a state.
 
-It outlives the request, and a process that ends waits for it. How an engine is asked is the host's own.
+A task outlives its request, and a process that stops waits for its tasks. The host provides the functions
+that talk to engines.
 """
 
 import asyncio
@@ -10,20 +11,21 @@
 
 from lifthead.guard import RequestGuard
 
-LIVENESS_INTERVAL = (
-    1_000_000  # microseconds between questions to an engine that does not answer, at the least
-)
+LIVENESS_INTERVAL = 1_000_000  # minimum microseconds between checks of an engine that does not answer
 
-# Asks engines to release what is held for a request: when what was answered was sent, 0 if nothing was.
+# Asks engines to release what is held for a request. Returns when the answered message was sent, 0 if none
+# was answered.
 SendReleases = Callable[[RequestGuard], Awaitable[int]]
-# Whether an engine runs, for this request: when something was sent to it, after this time, that it has
-# answered; 0 if nothing was.
+# Checks for a request whether an engine runs. Returns when a message that it answered was sent, which is at
+# the given time or later; 0 if none was answered.
 CheckAlive = Callable[[str, RequestGuard, int], Awaitable[int]]
 Spawn = Callable[[Coroutine[Any, Any, None], str], asyncio.Task[None]]
 
 
 class ReleaseTasks:
-    """`now`: the clock of the schedules, microseconds; `spawn`: starts a task of the process."""
+    """The running release schedules of a process.
+
+    `now`: the clock of the schedules, microseconds; `spawn`: starts a background task."""
 
     def __init__(
         self, now: Callable[[], int], spawn: Spawn, send_releases: SendReleases, check_alive: CheckAlive
@@ -35,24 +37,23 @@
             check_alive,
         )
         self._schedule_changed: dict[RequestGuard, asyncio.Event] = {}
-        self._waiting_for_engine: dict[
-            str, set[RequestGuard]
-        ] = {}  # by engine that has not shown the end of an attempt
+        # By engine: guards with a closed attempt that the engine may still have to process.
+        self._waiting_for_engine: dict[str, set[RequestGuard]] = {}
         self._liveness_tasks: dict[str, asyncio.Task[None]] = {}
         self._stopping = False
 
     @property
     def guards(self) -> list[RequestGuard]:
-        """The guards of requests whose releases are under way."""
+        """The guards whose release schedules are running."""
         return list(self._schedule_changed)
 
     def update(self, guard: RequestGuard) -> None:
-        """The schedule of this request may have changed, or a release has ended."""
+        """Starts or wakes the tasks of a request whose schedule may have changed."""
         for engine in () if self._stopping else guard.releases.silent_engines(self._now()):
             self._waiting_for_engine.setdefault(engine, set()).add(guard)
             if engine not in self._liveness_tasks:
                 self._liveness_tasks[engine] = self._spawn(
-                    self._check_until_alive(engine), f"whether {engine} runs"
+                    self._check_until_alive(engine), f"the liveness check of {engine}"
                 )
         if changed := self._schedule_changed.get(guard):
             changed.set()
@@ -61,30 +62,28 @@
             self._spawn(self._run_schedule(guard), f"the releases of {guard.request}")
 
     def stop(self) -> None:
-        """The process ends: once the releases that are due are out, no engine is asked any more."""
+        """Stops the checks of engines once the release schedules that are running have ended."""
         self._stopping = True
         if not self._schedule_changed:
             for task in self._liveness_tasks.values():
                 task.cancel()
 
     async def _check_until_alive(self, engine: str) -> None:
-        """Asks an engine whether it runs, one question at a time for all requests that wait for that."""
+        """Checks whether an engine runs, one check at a time for all requests that wait for it."""
         try:
             while (since := self._check_from(engine)) is not None:
-                again_at = self._now() + LIVENESS_INTERVAL
-                asked_at = await self._check_alive(
-                    engine, next(iter(self._waiting_for_engine[engine])), since
-                )
-                if not asked_at:
-                    await asyncio.sleep(max(again_at - self._now(), 0) / 1e6)
-                for guard in list(self._waiting_for_engine[engine]) if asked_at else ():
-                    guard.on_engine_alive(engine, asked_at, self._now())
+                next_check_at = self._now() + LIVENESS_INTERVAL
+                sent_at = await self._check_alive(engine, next(iter(self._waiting_for_engine[engine])), since)
+                if not sent_at:
+                    await asyncio.sleep(max(next_check_at - self._now(), 0) / 1e6)
+                for guard in list(self._waiting_for_engine[engine]) if sent_at else ():
+                    guard.on_engine_alive(engine, sent_at, self._now())
                     self.update(guard)
         finally:
             del self._waiting_for_engine[engine], self._liveness_tasks[engine]
 
     def _check_from(self, engine: str) -> int | None:
-        """When the first of the requests that wait for this engine may learn whether it runs; None while none
+        """Returns the time from which an answer of this engine helps a waiting request; None if none
         waits."""
         waiting = {
             guard: guard.releases.silent_engines(self._now()) for guard in self._waiting_for_engine[engine]
@@ -97,9 +96,9 @@
         try:
             while (due_at := guard.releases.next_at()) is not None:
                 changed.clear()
-                if (waits := due_at - self._now()) > 0:
+                if (wait_us := due_at - self._now()) > 0:
                     with contextlib.suppress(TimeoutError):
-                        async with asyncio.timeout(waits / 1e6):
+                        async with asyncio.timeout(wait_us / 1e6):
                             await changed.wait()
                     continue
                 guard.on_release_sent(self._now())
@@ -110,6 +109,6 @@
                 self.stop()
 
     async def _release_once(self, guard: RequestGuard) -> None:
-        if asked_at := await self._send_releases(guard):
-            guard.on_release_answered(asked_at)
+        if sent_at := await self._send_releases(guard):
+            guard.on_release_answered(sent_at)
         self.update(guard)
--- a/lifthead/simhost/__init__.py
+++ b/lifthead/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts instances of the decision module on the simulator's wire."""
+"""Runs instances of the decision module for the simulator, over standard input and output."""
--- a/lifthead/simhost/__main__.py
+++ b/lifthead/simhost/__main__.py
@@ -6,5 +6,5 @@
 if __name__ == "__main__":
     try:
         serve(sys.stdin, sys.stdout)
-    except MalformedError as problem:
-        sys.exit(f"lifthead.simhost: {problem}")
+    except MalformedError as error:
+        sys.exit(f"lifthead.simhost: {error}")
--- a/lifthead/simhost/serve.py
+++ b/lifthead/simhost/serve.py
@@ -1,4 +1,5 @@
-"""Reads batches, calls the module's instances, and writes what they do."""
+"""Reads batches of events from the simulator, passes them to instances of the decision module, and writes the
+calls that these make."""
 
 from dataclasses import replace
 from typing import TextIO
@@ -17,7 +18,7 @@
 
 
 class WireHost:
-    """The host that one instance acts through: each call becomes a line of the reply."""
+    """The host of one instance: each call of the decision module becomes a line of the reply."""
 
     def __init__(self, router: str, clock: list[int], reply: list[str]) -> None:
         self._router_field = f" Router={router} "
@@ -53,7 +54,7 @@
 
 
 class Instances:
-    """All instances of this process. They share the clock and the pipe, and nothing that decides."""
+    """All instances of this process. They share the clock and the reply, but no decision state."""
 
     def __init__(self) -> None:
         self.clock = [0]
@@ -62,16 +63,16 @@
         self.engine_lists: dict[str, list] = {}
 
     def handle(self, name: str, fields: Fields) -> None:
-        number = required_field(fields, "Router")
+        router_id = required_field(fields, "Router")
         if name == "INIT":
-            host = WireHost(number, self.clock, self.reply)
-            self.routers[number] = Router(host, replace(parse_deployment(fields), silent_losses=False))
+            host = WireHost(router_id, self.clock, self.reply)
+            self.routers[router_id] = Router(host, replace(parse_deployment(fields), silent_losses=False))
             return
-        router = self.routers.get(number)
+        router = self.routers.get(router_id)
         if router is None:
-            raise MalformedError(f"{name} names Router={number}, which has had no INIT")
+            raise MalformedError(f"{name} names Router={router_id}, which has had no INIT")
         if name == "HALT":
-            del self.routers[number]
+            del self.routers[router_id]
         elif name == "DEMAND":
             router.on_req(wire.parse_request(fields))
         elif name == "ENDED":
@@ -86,8 +87,8 @@
                 wire.parse_load_report(fields),
             )
         elif name == "ESTABLISHED":
-            took = int_field(fields, "Took", 0)
-            router.on_begun(int_field(fields, "Id"), int_field(fields, "Try", 0), took)
+            took_us = int_field(fields, "Took", 0)
+            router.on_begun(int_field(fields, "Id"), int_field(fields, "Try", 0), took_us)
         elif name == "EXPIRED":
             router.on_expired(int_field(fields, "Id"))
         elif name == "ALARM":
@@ -95,23 +96,23 @@
         elif name == "ECHO":
             router.on_probed(required_field(fields, "Engine"), wire.parse_load_report(fields))
         elif name == "BACKENDS_CHANGED":
-            how = required_field(fields, "How")
-            if how == "unavailable":
+            change = required_field(fields, "How")
+            if change == "unavailable":
                 router.on_engines_unavailable()
-            elif how in ("update", "replace", "restored"):
+            elif change in ("update", "replace", "restored"):
                 engine_list = self.engine_lists.get(fields.get("List", "0"))
                 if engine_list is None:
                     raise MalformedError("BACKENDS_CHANGED names a list that was never sent")
-                router.on_engines(engine_list, whole_list=how != "update")
+                router.on_engines(engine_list, whole_list=change != "update")
             else:
-                raise MalformedError(f"How={how[:40]} is not known")
+                raise MalformedError(f"How={change[:40]} is not known")
 
 
 def serve(lines: TextIO, out: TextIO) -> None:
     instances = Instances()
-    number, in_batch, entries_due, engine_list = 0, False, 0, []
+    line_number, in_batch, entries_due, engine_list = 0, False, 0, []
     for raw_line in lines:
-        number += 1
+        line_number += 1
         line = raw_line.rstrip("\r\n")
         try:
             if entries_due:
@@ -141,7 +142,7 @@
                 instances.handle(name, fields)
             elif name in ("INIT", "DEMAND", "ENDED", "BACKENDS_CHANGED"):
                 raise MalformedError(f"{name} has no Router")
-        except MalformedError as problem:
-            raise MalformedError(f"line {number}: {problem}") from None
+        except MalformedError as error:
+            raise MalformedError(f"line {line_number}: {error}") from None
     if in_batch:
-        raise MalformedError(f"line {number}: input ended inside a batch")
+        raise MalformedError(f"line {line_number}: input ended inside a batch")
--- a/lifthead/simhost/wire.py
+++ b/lifthead/simhost/wire.py
@@ -1,4 +1,4 @@
-"""Turns the wire's text into the module's plain types. It translates and nothing else."""
+"""Translates lines of the simulator's protocol into the plain types of the decision module."""
 
 from lifthead.instance_settings import (
     Fields,
@@ -38,9 +38,9 @@
     for part in parts:
         if not part:
             continue
-        key, equals, value = part.partition("=")
-        if not equals:
-            raise MalformedError(f"part '{part[:40]}' of line '{line[:120]}' is not of the form name=value")
+        key, separator, value = part.partition("=")
+        if not separator:
+            raise MalformedError(f"'{part[:40]}' in line '{line[:120]}' is not of the form name=value")
         fields[key] = value
     return name, fields
 
@@ -51,10 +51,10 @@
 
 
 def parse_load_report(fields: Fields) -> LoadReport | None:
-    stats = fields.get("ServerStats", "")
-    if stats in ("", "-"):
+    load_text = fields.get("ServerStats", "")
+    if load_text in ("", "-"):
         return None
-    values = dict(pair.partition(":")[::2] for pair in stats.split(","))
+    values = dict(pair.partition(":")[::2] for pair in load_text.split(","))
     load = {
         attribute: float_field(values, wire_name, 0.0)
         for wire_name, attribute in REPORT_FIELDS.items()
@@ -66,7 +66,7 @@
 def parse_engine_entry(line: str) -> EngineEntry:
     name, fields = parse_line(line)
     if name != "M":
-        raise MalformedError(f"line '{line[:120]}' stands where an M line belongs")
+        raise MalformedError(f"expected an M line, got '{line[:120]}'")
     return EngineEntry(
         engine=required_field(fields, "Engine"),
         zone=fields.get("Campus", ""),
--- a/lifthead/socket_state.py
+++ b/lifthead/socket_state.py
@@ -1,4 +1,4 @@
-"""What the system shows on a connection now, whether or not the event loop has looked yet."""
+"""Asks the operating system for the state of a connection, before the event loop gets to it."""
 
 import asyncio
 import select
@@ -8,7 +8,7 @@
 
 
 def has_event(writer: asyncio.StreamWriter, events: int) -> bool:
-    """Whether the system shows any of this; also true of a connection that is closed already."""
+    """Returns whether any of these poll events is pending. Also true for a socket that is closed already."""
     if (socket := writer.get_extra_info("socket")) is None:
         return False
     if socket.fileno() < 0:
--- a/lifthead/starts.py
+++ b/lifthead/starts.py
@@ -7,9 +7,9 @@
 
 from dataclasses import dataclass, field
 
-LIST_LAG = 10_000_000  # how long before its listing an engine may have started
-MIN_CLOCK_STEP = 500_000  # a change of the wall clock against the monotonic one that no drift explains
-MAX_STARTS = 16_384  # starts that are remembered; the oldest go first
+LIST_LAG = 10_000_000  # how long before the list names it an engine may have started
+MIN_CLOCK_STEP = 500_000  # of the wall clock against the monotonic one: more than clock drift explains
+MAX_STARTS = 16_384  # remembered start times; the oldest are dropped first
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,23 +22,25 @@
 
 @dataclass(slots=True)
 class StartTimes:
-    """`wall_offset`: by how much the wall clock was ahead of the monotonic one when the process began."""
+    """Remembers one start time per engine.
+
+    `wall_offset`: by how much the wall clock was ahead of the monotonic one when the process began."""
 
     wall_offset: int
     clock_stepped: bool = False  # the wall clock has been stepped since the process began
-    _listed_at: int = 0  # when the last list came, 0 for none
+    _listed_at: int = 0  # when the last list came; 0: none yet
     _starts: dict[str, Start] = field(default_factory=dict)
 
     def on_list(self, at: int) -> None:
-        """A list has come, and all of its starts were asked for."""
+        """Notes that a list has come and `up_since` was called for all of its engines."""
         self._listed_at = at
 
     def reset(self) -> None:
-        """The lists so far may be old: an engine that is missing in them may have started long ago."""
+        """Forgets the last list: it may be old, and an engine missing from it may have started long ago."""
         self._listed_at = 0
 
     def up_since(self, engine: str, reported: int, at: int, wall_offset: int) -> int:
-        """When this engine started. `at`: now; `wall_offset`: of the wall clock now."""
+        """Returns when an engine started. `at` is now; `wall_offset` is the wall clock's offset now."""
         known = self._starts.get(engine)
         if known and known.reported == reported:
             return known.up_since
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""What the log and the ring of recent events say of a request, and that the ring stays bounded."""
+"""What the log and the ring buffer of events report about a request, and that the ring stays bounded."""
 
 import logging
 
@@ -7,16 +7,16 @@
 from lifthead.events import Event, EventLog
 
 
-def names(node, trace):
+def events_of(node, trace):
     return [record.event for record in node.host.events.for_request(trace)]
 
 
-def test_the_ring_tells_a_requests_path_in_order():
-    async def play(node):
+def test_the_ring_holds_the_events_of_a_request_in_order():
+    async def scenario(node):
         status = (await ask(node.address, chat(5000)))[0]
-        return status, names(node, "a1")
+        return status, events_of(node, "a1")
 
-    status, events = played(play, rd=Engine([HAS_READ]), wr=Engine([STREAM]))
+    status, events = played(scenario, rd=Engine([HAS_READ]), wr=Engine([STREAM]))
     attempt = [Event.CONNECTING, Event.SENDING, Event.SENT, Event.CONFIRMED]
     assert status == 200
     assert events == [
@@ -29,14 +29,14 @@
 def test_a_close_and_a_release_are_logged_with_their_reasons(caplog):
     caplog.set_level(logging.INFO)
 
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(5000, group="pay"))
             status = (await client.answer())[0]
         await node.until(lambda: not node.host.pending_requests)
         return status
 
-    assert played(play, rd=Engine([HAS_READ]), wr=Engine([CLOSE])) == 504
+    assert played(scenario, rd=Engine([HAS_READ]), wr=Engine([CLOSE])) == 504
     lines = [record.getMessage() for record in caplog.records]
     closed = next(line for line in lines if line.startswith("connection_closed"))
     assert "request=a1 attempt=1 engine=wr reason=cut work=fetch age_ms=" in closed and "uses=0" in closed
@@ -51,6 +51,6 @@
         events.add(number, Event.ACCEPTED, f"r{number}")
     events.dump("test")
     events.dump("test", "r4")
-    said = [record.getMessage() for record in caplog.records]
-    assert said[0] == "event ring: test, 3 events" and said[4] == "event ring: test, 1 events"
-    assert said[1] == "ring request_taken at_us=2 request=r2" and len(said) == 6
+    messages = [record.getMessage() for record in caplog.records]
+    assert messages[0] == "event ring: test, 3 events" and messages[4] == "event ring: test, 1 events"
+    assert messages[1] == "ring request_taken at_us=2 request=r2" and len(messages) == 6
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,3 +1,5 @@
+"""The host for the simulator: replies to batches of events, and errors for malformed lines."""
+
 import io
 
 import pytest
@@ -11,11 +13,11 @@
     "Grades.count=1 Grades.0.Name=chat Grades.0.Effect=safe "
     "Grades.0.Target=1000000 PolicyLimits.MaxAttempts=4 ReplicasOfMe=1 Rules.OverloadFor=1000000"
 )  # fmt: skip
-SHEET = (
+ENGINE_LIST = (
     "SHEET List=3 MembersList=2\nM Engine=e:1 Sku=P Readiness=live\n"
     "M Engine=e:2 Sku=D Readiness=live Odd=1"
 )  # fmt: skip
-NEWS = "BACKENDS_CHANGED Router=0 How=restored Rev=1 List=3"
+LIST_CHANGED = "BACKENDS_CHANGED Router=0 How=restored Rev=1 List=3"
 DEMAND = "DEMAND Router=0 Id=9 Budget=900000 Cls=chat Talk=aa NMax=50 NPrompt="
 
 
@@ -27,26 +29,26 @@
 
 
 @pytest.mark.parametrize(("prompt", "engine"), [("600", "e:2"), ("6000.0", "e:1")])
-def test_a_demand_is_answered_with_a_route(prompt, engine):
-    reply = answers("", f"{INIT}\n{SHEET}\n{NEWS}", DEMAND + prompt)
+def test_a_request_is_routed_by_the_length_of_its_prompt(prompt, engine):
+    reply = answers("", f"{INIT}\n{ENGINE_LIST}\n{LIST_CHANGED}", DEMAND + prompt)
     assert reply[0] == [""]
     assert f"ROUTE Router=0 Id=9 Engine={engine} AbandonAt=903000" in reply[2]
 
 
-def test_a_halted_instance_begins_empty_and_a_list_number_is_used_again():
-    other = SHEET.replace("e:", "f:")
-    started = f"{INIT}\n{SHEET}\n{NEWS}"
-    reply = answers(started, f"HALT Router=0\n{INIT}\n{other}\n{NEWS}", DEMAND + "600")
+def test_an_instance_starts_empty_after_a_halt_and_a_list_number_may_be_reused():
+    other = ENGINE_LIST.replace("e:", "f:")
+    started = f"{INIT}\n{ENGINE_LIST}\n{LIST_CHANGED}"
+    reply = answers(started, f"HALT Router=0\n{INIT}\n{other}\n{LIST_CHANGED}", DEMAND + "600")
     assert "Engine=f:2" in reply[2][-1]
 
 
-@pytest.mark.parametrize("late", ["EXPIRED Router=0 Id=5", "ALARM Router=0 Label=20"])
-def test_news_of_a_req_that_is_over_is_ignored(late):
-    assert answers(f"{INIT}\n{SHEET}\n{NEWS}", late)[1] == [""]
+@pytest.mark.parametrize("late_event", ["EXPIRED Router=0 Id=5", "ALARM Router=0 Label=20"])
+def test_an_event_for_a_finished_request_is_ignored(late_event):
+    assert answers(f"{INIT}\n{ENGINE_LIST}\n{LIST_CHANGED}", late_event)[1] == [""]
 
 
 @pytest.mark.parametrize(
-    ("line", "said"),
+    ("line", "message"),
     [
         ("DEMAND Router=0 Id", "name=value"),
         ("DEMAND Router=4 Id=1", "no INIT"),
@@ -57,6 +59,6 @@
         ("SHEET List=1 MembersList=1\nDEMAND Router=0", "M line"),
     ],
 )
-def test_a_malformed_line_is_named(line, said):
-    with pytest.raises(MalformedError, match=said):
+def test_a_malformed_line_is_reported(line, message):
+    with pytest.raises(MalformedError, match=message):
         answers(INIT, line)
