--- a/lifthead/deployment/derive.py
+++ b/lifthead/deployment/derive.py
@@ -15,19 +15,19 @@
         tick=TICK,
         seed=seed,
         groups={
-            group.name: EndpointGroup(
-                group.name,
-                Effect(group.effect),
-                group.keyed_within,
-                group.keyed_for,
-                group.target,
-                group.target_per_1000,
-                group.deadline,
-                group.token_target,
-                group.importance,
-                group.late_share,
+            request_class.name: EndpointGroup(
+                request_class.name,
+                Effect(request_class.effect),
+                request_class.keyed_within,
+                request_class.keyed_for,
+                request_class.target,
+                request_class.target_per_1000,
+                request_class.deadline,
+                request_class.token_target,
+                request_class.importance,
+                request_class.late_share,
             )
-            for group in fleet.groups.values()
+            for request_class in fleet.groups.values()
         },
         tenants={tenant.name: Tenant(tenant.name, tenant.share_per_s) for tenant in fleet.tenants.values()},
         roles={kind.name: kind.role for kind in fleet.kinds.values()},
--- a/lifthead/deployment/durations.py
+++ b/lifthead/deployment/durations.py
@@ -6,7 +6,9 @@
 
 _number = parsy.regex(r"\d+(\.\d+)?").map(float).desc("a number")
 _unit = parsy.string_from(*UNITS).desc("one of us, ms, s, m, h")
-_duration = parsy.seq(_number, _unit.map(UNITS.get)).combine(lambda n, unit: n * unit).at_least(1).map(sum)
+_duration = (
+    parsy.seq(_number, _unit.map(UNITS.get)).combine(lambda count, unit: count * unit).at_least(1).map(sum)
+)
 
 
 class Microseconds(int):
--- a/lifthead/deployment/script.py
+++ b/lifthead/deployment/script.py
@@ -74,7 +74,7 @@
 def read_engines(text: str, name: str) -> dict[str, fleet.EngineSpec]:
     """The engines of a file that describes nothing else. A call of `total(N)` in it protects against a file
     that was cut short."""
-    found: dict[str, fleet.EngineSpec] = {}
+    engines: dict[str, fleet.EngineSpec] = {}
     totals: list[int] = []
 
     def total(many: int) -> None:
@@ -82,15 +82,18 @@
             raise EvalError(f"total: expected a whole number, got {many!r}")
         totals.append(many)
 
-    _execute(text, name, {"engine": _add_to(fleet.EngineSpec, found, "name"), "total": total})
-    if totals and totals[0] != len(found):
-        raise ScriptError(f"{name}: total({totals[0]}) does not match the {len(found)} engines in it")
-    return found
+    _execute(text, name, {"engine": _add_to(fleet.EngineSpec, engines, "name"), "total": total})
+    if totals and totals[0] != len(engines):
+        raise ScriptError(f"{name}: total({totals[0]}) does not match the {len(engines)} engines in it")
+    return engines
 
 
 def _execute(text: str, name: str, functions: dict[str, Any]) -> None:
     """Runs a script that may call these functions and no others."""
-    builtins = {word: BuiltinFunction(word, function) for word, function in functions.items()}
+    builtins = {
+        function_name: BuiltinFunction(function_name, function)
+        for function_name, function in functions.items()
+    }
     try:
         starlark.exec_file(
             text, name, predeclared=builtins, max_steps=MAX_STEPS, max_allocs=MAX_ALLOCATED
--- a/lifthead/engines/link.py
+++ b/lifthead/engines/link.py
@@ -71,9 +71,7 @@
         self.writer.write(data)
         if transport.is_closing():  # asyncio's own event loop writes at once: this write is what failed
             raise NotSentError("broke while it was written to")
-        while (
-            transport.get_write_buffer_size()
-        ):  # the rest waits until the other end has read what precedes it
+        while transport.get_write_buffer_size():  # the rest waits until the other end has read more
             await self.writer.drain()
             await asyncio.sleep(0.001)
 
@@ -94,18 +92,18 @@
             return False
         return True
 
-    async def peer_closes(self, within: float, most: int) -> bool:
+    async def peer_closes(self, within: float, max_bytes: int) -> bool:
         """Whether the other end closes its side within so many seconds, after at most so many bytes."""
-        left = most
+        remaining = max_bytes
         try:
             async with asyncio.timeout(within):
-                while left > 0 and (data := await self.reader.read(READ_SIZE)):
-                    left -= len(data)
+                while remaining > 0 and (data := await self.reader.read(READ_SIZE)):
+                    remaining -= len(data)
         except TimeoutError:
             return False
         except OSError:
             return True
-        return left > 0
+        return remaining > 0
 
     async def _read(self) -> bytes:
         data = await self.reader.read(READ_SIZE)
@@ -132,13 +130,13 @@
             self.parser.feed(data)
         return self.parser.head
 
-    async def read_whole_body(self, most: int = 1 << 22) -> bytes:
-        """The rest of the body; HttpError if that is more than `most` bytes."""
+    async def read_whole_body(self, max_bytes: int = 1 << 22) -> bytes:
+        """The rest of the body; HttpError if that is more than `max_bytes`."""
         parts, size = [], 0
         while part := await self.read_body():
             parts.append(part)
             size += len(part)
-            if size > most:
+            if size > max_bytes:
                 raise HttpError(502, "an engine's answer is too large")
         return b"".join(parts)
 
@@ -173,8 +171,8 @@
     @property
     def is_clean(self) -> bool:
         """Whether it is open at both ends, with no unsolicited bytes."""
-        open_ = not (self.writer.transport.is_closing() or self.reader.at_eof())
-        return open_ and self.reader.received == self._consumed
+        is_open = not (self.writer.transport.is_closing() or self.reader.at_eof())
+        return is_open and self.reader.received == self._consumed
 
     def __str__(self) -> str:
         """For the log: its age, its uses, how long it was idle before the current one, and whether any byte
--- a/lifthead/engines/listing.py
+++ b/lifthead/engines/listing.py
@@ -10,7 +10,7 @@
 from lifthead.engines.link import READ_SIZE
 from lifthead.http1 import HttpError
 
-RETRY_DELAY = 0.25  # seconds, doubled up to MAX_RETRY_DELAY while the service is unreachable
+RETRY_DELAY = 0.25  # seconds, doubled up to MAX_RETRY_DELAY while the service is unavailable
 MAX_RETRY_DELAY = 4.0
 MAX_LINE_BYTES = 8 << 20
 
@@ -41,7 +41,7 @@
                     on_update(update)
                     delay = RETRY_DELAY
         except (OSError, HttpError) as problem:
-            log.warning("engine list unreachable: the last one stays", said=str(problem)[:200])
+            log.warning("engine list unavailable: the last one stays", said=str(problem)[:200])
         finally:
             if writer:
                 with contextlib.suppress(OSError):
--- a/lifthead/resume/resume_queue.py
+++ b/lifthead/resume/resume_queue.py
@@ -38,7 +38,7 @@
     """The streams of one router that wait to be resumed, and those that are on their way to an engine."""
 
     def __init__(self) -> None:
-        self._order: list[tuple[tuple, int]] = []
+        self._heap: list[tuple[tuple, int]] = []
         self._waiting: dict[int, BrokenStream] = {}
         self._in_flight: dict[int, str] = {}  # stream -> tenant
         self.running_streams = 0  # as the caller last set it
@@ -64,7 +64,7 @@
         reason = self.refusal_reason(broken)
         if not reason:
             self._waiting[broken.stream] = broken
-            heappush(self._order, (self._priority(broken), broken.stream))
+            heappush(self._heap, (self._priority(broken), broken.stream))
         return reason
 
     def _priority(self, broken: BrokenStream) -> tuple:
@@ -86,8 +86,8 @@
     def take_next(self, now: int) -> list[BrokenStream]:
         """Takes the streams that are to be resumed now from the queue, in order."""
         taken, passed_over = [], []
-        while self._order and len(self._in_flight) < self.max_in_flight:
-            priority, stream = heappop(self._order)
+        while self._heap and len(self._in_flight) < self.max_in_flight:
+            priority, stream = heappop(self._heap)
             broken = self._waiting.get(stream)
             if broken is None:
                 continue
@@ -102,7 +102,7 @@
             self._in_flight[stream] = broken.tenant
             taken.append(broken)
         for entry in passed_over:
-            heappush(self._order, entry)
+            heappush(self._heap, entry)
         return taken
 
     def expire(self, now: int) -> list[BrokenStream]:
--- a/lifthead/resume/stall_detector.py
+++ b/lifthead/resume/stall_detector.py
@@ -1,9 +1,9 @@
 """Detects when a stream's silence means that its decode engine is lost.
 
-An engine that is silent on all of its streams is told from one that pauses a single stream (an engine short
-of KV memory preempts its newest answer). Both silences are measured against the pace that the engine has
-shown. While most engines are silent at once, the cause is more likely this router or a slow fleet: then only
-the longest silence allowed ends a stream. Only text counts as progress: protocol heartbeats come from a
+An engine that is silent on all of its streams is distinguished from one that pauses a single stream (an
+engine short of KV memory preempts its newest answer). Both silences are measured against the pace that the
+engine has shown. While most engines are silent at once, the cause is more likely this router or a slow fleet:
+then only a much longer silence ends a stream. Only text counts as progress: protocol heartbeats come from a
 process that may have stopped decoding.
 """
 
@@ -113,7 +113,7 @@
         # When most engines are silent at once, that shows nothing about a single one. Without this check,
         # the streams of a whole fleet would be resumed together.
         most_silent = len(expecting) > 1 and len(silent) * 2 > len(expecting)
-        found = []
+        lost = []
         for name in expecting:
             limit = self.silence_limit(name) * (MOST_SILENT_FACTOR if most_silent else 1.0)
             cause = "engine silent"
@@ -123,8 +123,8 @@
                 progress = self._streams[stream]
                 silent_for = now - progress.last_text_at
                 if not progress.client_blocked and silent_for > min(limit, self._max_silence):
-                    found.append(LostStream(stream, name, cause, silent_for))
-        return found
+                    lost.append(LostStream(stream, name, cause, silent_for))
+        return lost
 
     def _expects_text(self, engine_progress: EngineProgress) -> bool:
         return any(not self._streams[stream].client_blocked for stream in engine_progress.streams)
