--- a/lifthead/fleet/health.py
+++ b/lifthead/fleet/health.py
@@ -36,12 +36,12 @@
 
     @property
     def reason(self) -> str:
-        """A short explanation for operators."""
+        """The sentence for operators that the page /ready and the field `why` of a router's state show."""
         if self.stopping or self.drain_requested:
-            return "draining: takes no more requests"
+            return "drains: takes no more"
         if not self.engines_listed:
-            return "no engine list yet"
-        return "takes requests" if self.decode_engines else "no decode engine is ready"
+            return "no list of engines yet"
+        return "takes reqs" if self.decode_engines else "no engine left that writes"
 
 
 async def serve_agent_check(
--- a/lifthead/resume/resume_queue.py
+++ b/lifthead/resume/resume_queue.py
@@ -44,19 +44,19 @@
         self.running_streams = 0  # as the caller last set it
 
     def refusal_reason(self, broken: BrokenStream) -> str:
-        """Why this stream may not be resumed; "" if it may."""
+        """Why this stream may not be resumed, as its client is told; "" if it may."""
         request_class = broken.request_class
         if request_class.effect is Effect.NON_REPLAYABLE:
-            return "non-replayable: an attempt has run"
+            return "non-replayable: it has run"
         if (
             request_class.effect is Effect.KEYED
             and broken.broken_at >= broken.attempt_sent_at + request_class.keyed_for
         ):
-            return "keyed: its idempotency key has expired"
+            return "keyed: its repeat is known no more"
         if broken.obstacle:
             return broken.obstacle
         if broken.resumes >= MAX_RESUMES:
-            return f"resumed {broken.resumes} times already"
+            return f"placed again {broken.resumes} times before"
         return ""
 
     def add(self, broken: BrokenStream) -> str:
--- a/lifthead/resume/splice.py
+++ b/lifthead/resume/splice.py
@@ -23,14 +23,14 @@
 
 
 def obstacle(body: dict[str, Any]) -> str:
-    """Why answers to this request can't be spliced; "" if they can."""
+    """Why answers to this request can't be spliced, as the client is told; "" if they can."""
     if (body.get("n") or 1) != 1:
         return "several choices"
     response_format = body.get("response_format") or {}
     if isinstance(response_format, dict) and response_format.get("type", "text") != "text":
-        return "output constrained by response_format"
+        return "a bound grammar"
     if body.get("continue_final_message"):
-        return "the client's own continue_final_message"
+        return "the client's own continuation"
     return ""
 
 
