--- a/lifthead/chat/codec.py
+++ b/lifthead/chat/codec.py
@@ -115,7 +115,7 @@
         for index, each in enumerate(body.messages):
             # An assistant message may consist of tool calls alone.
             if each.content is None and each.role != "assistant":
-                raise BadRequestError(400, "invalid_body", "expected content", f"messages[{index}].content")
+                raise BadRequestError(400, "invalid_body", "expected a content", f"messages[{index}].content")
         request_class = headers.get(self._headers.group) or self._classes_by_model.get(body.model, "")
         if request_class not in self._deadlines:
             raise BadRequestError(
--- a/lifthead/chat/server.py
+++ b/lifthead/chat/server.py
@@ -333,7 +333,7 @@
             )
             if self._refusing:
                 reply.send_whole(
-                    503, self._error(503, "stopping", "this router is stopping: the request is safe to retry")
+                    503, self._error(503, "stopping", "it came too late: trying again does no harm")
                 )
             else:
                 async with asyncio.TaskGroup() as tasks:
@@ -378,7 +378,7 @@
                     data = await reader.read(READ_BYTES)
             except TimeoutError:
                 if parser.partial:
-                    raise HttpError(408, "the request did not arrive in time") from None
+                    raise HttpError(408, "the req did not come in time") from None
                 data = await _take_buffered(reader, writer)  # already read from the socket: must be answered
                 if data:
                     self._open.add(writer)  # an eviction may have removed it
--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -178,7 +178,7 @@
     def push_back(self, req: int, hold_off: int) -> None:
         pending = self.pending_requests[req]
         if pending.reply.begun:
-            return self._end_broken_stream(pending, "no engine could continue it")
+            return self._end_broken_stream(pending, "no place was found for the rest of it")
         if self._answered(pending, "pushed back"):
             headers = {
                 **self._reply_headers(pending),
@@ -186,17 +186,17 @@
                 "retry-after-ms": str(hold_off // 1000),
             }
             pending.reply.send_whole(
-                503, chat.error(503, "overloaded", "rejected: the request is safe to retry"), headers
+                503, chat.error(503, "overloaded", "pushed back: trying again does no harm"), headers
             )
 
     def abort(self, req: int) -> None:
         pending = self.pending_requests[req]
         if pending.reply.begun:
-            return self._end_broken_stream(pending, "it could not be continued in time")
+            return self._end_broken_stream(pending, "the rest of it could not be had in time")
         if self._answered(pending, "aborted"):
             late = now() - pending.accepted_at >= pending.request.budget * 9 // 10
             status, code = (504, "deadline") if late else (502, "aborted")
-            message = "failed: it is unknown whether the request had an effect"
+            message = "aborted: whether it had an effect is not known"
             headers = {**self._reply_headers(pending), "x-should-retry": "false"}
             pending.reply.send_whole(status, chat.error(status, code, message), headers)
 
@@ -241,7 +241,7 @@
         except (HttpError, StrangeError, SeamError) as problem:
             observation = Observation.STRANGE
             self._log.warning(
-                "malformed answer from an engine",
+                "strange answer",
                 req=pending.name,
                 engine=attempt.engine,
                 said=str(problem)[:200],
@@ -556,14 +556,12 @@
     def abort_all(self) -> None:
         """Fails all pending requests once the time limit of the stop is over, and logs each as an error."""
         for pending in list(self.pending_requests.values()):
-            self._log.error("failed: not finished before the time limit of the stop", req=pending.name)
+            self._log.error("aborted by the stop", req=pending.name)
             if self._answered(pending, "aborted"):
                 if pending.reply.begun:
-                    pending.reply.end(chat.error_event("stopping", "this router is stopping"))
+                    pending.reply.end(chat.error_event("stopping", "this router stops"))
                 else:
-                    pending.reply.send_whole(
-                        502, chat.error(502, "stopping", "failed: this router is stopping")
-                    )
+                    pending.reply.send_whole(502, chat.error(502, "stopping", "aborted: this router stops"))
                 self.router.on_expired(pending.id)
             if pending.attempt:
                 self.cancel(pending.id, pending.attempt.number)
--- a/lifthead/daemon/metrics.py
+++ b/lifthead/daemon/metrics.py
@@ -10,58 +10,36 @@
 class Metrics:
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        registered = {"registry": self.registry}
-        self._accepted = Counter("lifthead_reqs_taken", "Requests accepted", ["group"], **registered)
-        self._answers = Counter(
-            "lifthead_reqs_ended", "Requests by final answer", ["group", "ended"], **registered
-        )
-        self._attempts = Counter("lifthead_forwards", "Attempts by outcome", ["ending"], **registered)
+        opts = {"registry": self.registry}
+        self._accepted = Counter("lifthead_reqs_taken", "Reqs taken", ["group"], **opts)
+        self._answers = Counter("lifthead_reqs_ended", "Reqs by final answer", ["group", "ended"], **opts)
+        self._attempts = Counter("lifthead_forwards", "Forwards by ending", ["ending"], **opts)
         self._first_token = Histogram(
-            "lifthead_first_token_seconds",
-            "Time from acceptance to the first text",
-            ["group"],
-            buckets=BUCKETS,
-            **registered,
+            "lifthead_first_token_seconds", "Taken to first text", ["group"], buckets=BUCKETS, **opts
         )
         self._broken_streams = Counter(
-            "lifthead_streams_broken",
-            "Broken streams, by cause and result",
-            ["cause", "became"],
-            **registered,
+            "lifthead_streams_broken", "Broken streams, what became of them", ["cause", "became"], **opts
         )
         self._resume_gap = Histogram(
-            "lifthead_resume_gap_seconds",
-            "Time from a broken stream to its first new text",
-            buckets=BUCKETS,
-            **registered,
-        )
-        self.recomputed_tokens = Counter(
-            "lifthead_tokens_read_anew", "Tokens prefilled again for resumed streams", **registered
+            "lifthead_resume_gap_seconds", "Break to new text", buckets=BUCKETS, **opts
         )
+        self.recomputed_tokens = Counter("lifthead_tokens_read_anew", "Tokens read again for resumes", **opts)
         self.streams_waiting = Gauge(
-            "lifthead_streams_waiting", "Broken streams that wait to be resumed", **registered
-        )
-        self.releases_lost = Counter(
-            "lifthead_releases_lost", "Releases of held states without an answer", **registered
+            "lifthead_streams_waiting", "Broken streams that wait for a new place", **opts
         )
+        self.releases_lost = Counter("lifthead_releases_lost", "Unanswered asks to let a state go", **opts)
         self.violations = Counter(
-            "lifthead_invariant_violations", "Violated invariants, by rule", ["rule"], **registered
+            "lifthead_invariant_violations", "Broken invariants, by rule", ["rule"], **opts
         )
         self.lost_entries = Counter(
-            "lifthead_entries_lost", "Ledger entries that could not be written", **registered
+            "lifthead_entries_lost", "Ledger entries that could not be written", **opts
         )
         self.loop_lag = Gauge(
-            "lifthead_loop_lag_seconds", "Longest delay of the event loop in the last second", **registered
-        )
-        self.pending_requests = Gauge("lifthead_reqs_in_hand", "Pending requests", **registered)
-        self.weight = Gauge(
-            "lifthead_weight_percent",
-            "Share of its usual traffic that the router asks of its balancer",
-            **registered,
-        )
-        self.list_age = Gauge(
-            "lifthead_list_age_seconds", "Time since the last list of engines", **registered
+            "lifthead_loop_lag_seconds", "Longest stall of the loop in the last second", **opts
         )
+        self.pending_requests = Gauge("lifthead_reqs_in_hand", "Reqs in hand", **opts)
+        self.weight = Gauge("lifthead_weight_percent", "Traffic wanted from balancers", **opts)
+        self.list_age = Gauge("lifthead_list_age_seconds", "Since the list of engines last came", **opts)
 
     def count_accepted(self, request_class: str) -> None:
         self._accepted.labels(request_class).inc()
--- a/lifthead/daemon/resuming.py
+++ b/lifthead/daemon/resuming.py
@@ -71,7 +71,7 @@
         self._running_streams.pop(pending.serial, None)
         if self._answered(pending, "aborted"):
             self.metrics.count_broken(pending.break_cause or "stopped", "aborted")
-            pending.reply.end(chat.error_event("stream_broken", f"the stream can't be continued: {why}"))
+            pending.reply.end(chat.error_event("stream_broken", f"the stream can't go on: {why}"))
 
     def _place_broken_streams(self) -> None:
         """Places the broken streams that may be resumed now, with the answer so far as part of the prompt."""
@@ -147,7 +147,7 @@
             ):
                 self._abandon_attempt(serial, "drain")
             for broken in self.resumptions.too_late(at):
-                self._end_broken_stream(self._running_streams[broken.stream], "no engine was free in time")
+                self._end_broken_stream(self._running_streams[broken.stream], "no place was free in time")
             self._place_broken_streams()
             self.metrics.streams_waiting.set(self.resumptions.waiting)
 
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -208,13 +208,13 @@
     def _refusal(self) -> str | None:
         """Returns why no request can be accepted now; None if one can."""
         if self.refusing_requests or self.operator_drain:
-            return "this router is draining"
+            return "this router drains"
         if not self.host.list_received_at:
             return "this router has no list of engines yet"
         if self.ledger and self.ledger.refuses:
             return "this router can't write its ledger"
         if len(self.host.pending_requests) >= self.fleet.limits.in_hand:
-            return "this router has reached its limit of pending requests"
+            return "this router holds all that it may"
         return None
 
     # Questions of operators on the admin socket.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,12 +1,12 @@
-"""Known failures, and which tests run side by side.
+"""Handles known failures and decides which tests may run in parallel.
 
-Tests named in KNOWN-RED.txt are expected to fail, and fail the run if one of them passes. A line of that file
-is `test | cause | issue`; three at most. Lines that begin with # are comments. One whose cause begins with
-"flaky" may pass as well.
+Tests listed in KNOWN-RED.txt are expected to fail, and fail the run if they pass. Each line of that file is
+`test | cause | issue`, with at most three lines. Lines that begin with # are comments. A test whose cause
+begins with "flaky" may also pass.
 
-With pytest-xdist, all tests that start whole fleets of processes and judge them by time limits run one after
-the other: two fleets at once would make each other late. They are the largest group, which xdist begins with;
-all others share nothing and go to whichever worker is free.
+With pytest-xdist, tests that start whole fleets of processes and check time limits run one after the other,
+since two fleets at once would delay each other. They are the largest group, which xdist starts first. All
+other tests share nothing and run on any free worker.
 """
 
 from pathlib import Path
@@ -14,23 +14,25 @@
 import pytest
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
+MAX_KNOWN_FAILURES = 3
 FLAKY = "flaky"
-FLEETS = (
+FLEET_TESTS = (
     "test_daemon_faults.py",
     "test_fault_reproductions.py",
     "test_fault_soak.py",
     "test_system_calls.py",
 )
 
-SHARES = ("test_discovery.py",)  # a fixture that all its tests look at
+SHARED_FIXTURE = ("test_discovery.py",)  # all its tests use one fixture, so they run on one worker
 
 
 def known_failures(text):
-    """Cause and issue by test."""
+    """Returns the cause and issue of each known failure, by test."""
     rows = [line.split("|") for line in text.splitlines() if line.strip() and not line.startswith("#")]
-    if len(rows) > MOST or any(len(row) != 3 for row in rows):
-        raise pytest.UsageError(f"{KNOWN_RED.name}: at most {MOST} lines of `test | cause | issue`")
+    if len(rows) > MAX_KNOWN_FAILURES or any(len(row) != 3 for row in rows):
+        raise pytest.UsageError(
+            f"{KNOWN_RED.name}: at most {MAX_KNOWN_FAILURES} lines of `test | cause | issue`"
+        )
     return {test.strip(): f"{cause.strip()} (issue {issue.strip()})" for test, cause, issue in rows}
 
 
@@ -38,12 +40,12 @@
     config.known_failures = known_failures(KNOWN_RED.read_text() if KNOWN_RED.exists() else "")
 
 
-@pytest.hookimpl(tryfirst=True)  # xdist reads the groups in its own hook of this name
+@pytest.hookimpl(tryfirst=True)  # before the xdist hook of the same name, which reads the groups
 def pytest_collection_modifyitems(config, items):
     for item in items:
-        if item.path.name in FLEETS:
+        if item.path.name in FLEET_TESTS:
             item.add_marker(pytest.mark.xdist_group("fleets"))
-        elif item.path.name in SHARES:
+        elif item.path.name in SHARED_FIXTURE:
             item.add_marker(pytest.mark.xdist_group(item.path.name))
         if reason := config.known_failures.get(item.nodeid):
             item.add_marker(pytest.mark.xfail(strict=not reason.startswith(FLAKY), reason=reason))
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""A router and stand-in engines in one loop, on ports that the system gives; raw clients to talk to them."""
+"""A router and stand-in engines in one event loop, on free ports of the loopback interface; clients."""
 
 import asyncio
 import contextlib
@@ -33,7 +33,7 @@
 
 
 class LocalServers:
-    """What listens on ports that the system gives."""
+    """Base class of fixtures that listen on free ports."""
 
     servers: list[asyncio.Server]
 
@@ -41,14 +41,17 @@
         self.servers.append(await asyncio.start_server(handler, "127.0.0.1", 0, backlog=2048))
         return "{}:{}".format(*self.servers[-1].sockets[0].getsockname()[:2])
 
-    async def until(self, true, within=3.0):
+    async def until(self, condition, within=3.0):
         async with asyncio.timeout(within):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.01)
 
 
 class Loopback(LocalServers):
-    """`engines` names the stand-ins to run; `handlers` gives handlers that take an engine's place."""
+    """A router and its engines.
+
+    `engines` names the stand-in engines to run; `handlers` maps names to handlers that replace an engine.
+    """
 
     def __init__(self, path: Path, engines=("rd", "wr"), handlers=None, text=SCRIPT):
         self.path, self.names, self.handlers, self.fleet = (
@@ -90,19 +93,19 @@
                 [
                     ListedEngine(
                         name,
-                        at,
+                        address,
                         specs[name].zone,
                         specs[name].cell,
                         specs[name].kind,
                         readiness=readiness.get(name, "ready"),
                     )
-                    for name, at in self.engine_addresses.items()
+                    for name, address in self.engine_addresses.items()
                 ],
             )
         )
 
-    def fault(self, name, what, lasts=5.0, part=1.0, times=1.0, group=""):
-        self.engines[name].faults[what] = Fault(now() + int(lasts * 1e6), part, times, group)
+    def fault(self, name, kind, lasts=5.0, part=1.0, times=1.0, group=""):
+        self.engines[name].faults[kind] = Fault(now() + int(lasts * 1e6), part, times, group)
 
     async def __aexit__(self, *_):
         for task in getattr(self, "background_tasks", []):
@@ -117,12 +120,12 @@
         return lines(self.path / f"engine-{name}.jsonl")
 
 
-def body(text="hi", model="m", **more):
-    return {"model": model, "messages": [{"role": "user", "content": text}], **more}
+def body(text="hi", model="m", **fields):
+    return {"model": model, "messages": [{"role": "user", "content": text}], **fields}
 
 
-def http(said, path="/v1/chat/completions", method="POST", **headers):
-    data = said if isinstance(said, bytes) else json.dumps(said).encode()
+def http(content, path="/v1/chat/completions", method="POST", **headers):
+    data = content if isinstance(content, bytes) else json.dumps(content).encode()
     fields = {
         "host": "x",
         "authorization": f"Bearer {KEY}",
@@ -135,7 +138,7 @@
 
 
 async def send_raw(address, *parts, until_closed=True, within=5.0):
-    """Sends bytes and returns all that comes back."""
+    """Sends bytes and returns everything that comes back."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -150,8 +153,8 @@
         writer.close()
 
 
-async def post_chat(address, said, **headers):
-    """Status and body of one req on a connection of its own."""
-    answer = await send_raw(address, http(said, **headers))
-    head, _, rest = answer.partition(b"\r\n\r\n")
-    return int(head.split()[1]), rest, head.decode("latin-1").lower()
+async def post_chat(address, content, **headers):
+    """Sends a chat request on a new connection; returns the status, the body and the head of the answer."""
+    answer = await send_raw(address, http(content, **headers))
+    head, _, answer_body = answer.partition(b"\r\n\r\n")
+    return int(head.split()[1]), answer_body, head.decode("latin-1").lower()
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Hard cases on sockets: clients and engines that misbehave, in one loop on loopback."""
+"""Clients and engines that misbehave on their sockets, with the router in the same process."""
 
 import asyncio
 import json
@@ -11,54 +11,57 @@
 from lifthead.engines.codec import ListedEngine, ListNews
 from lifthead.standins.cold import Warmth
 
-LONG = "fuel card " * 2500  # some 6,000 tokens: read at a reader
+LONG = "fuel card " * 2500  # some 6,000 tokens: goes to a prefill engine
 
 
 def run(coroutine):
     return asyncio.run(asyncio.wait_for(coroutine, 30))
 
 
-def forwards(loop, *names):
-    return [line for name in names for line in loop.record(name) if line["ev"] == "forward"]
+def attempts_at(loopback, *names):
+    return [line for name in names for line in loopback.record(name) if line["ev"] == "forward"]
 
 
-def states(loop, name="rd"):
-    """What was held there and how it went: (held, taken or let go)."""
-    lines = loop.record(name)
+def held_states(loopback, name="rd"):
+    """Counts the states that an engine held, and those that were fetched or released."""
+    lines = loopback.record(name)
     return sum(line["ev"] == "held" for line in lines), sum(
         line["ev"] in ("taken", "let_go") for line in lines
     )
 
 
-def texts(answer):
-    """Content of a streamed answer, and its last event."""
+def stream_content(answer):
+    """Returns the text of a streamed answer, its last event and all its JSON events."""
     events = [part.partition(b"data: ")[2].strip() for part in answer.replace(b"\r\n", b"\n").split(b"\n\n")]
     events = [event for event in events if event]
-    parts = [json.loads(event) for event in events if event.startswith(b"{")]
+    json_events = [json.loads(event) for event in events if event.startswith(b"{")]
     return (
-        "".join(p["choices"][0]["delta"].get("content") or "" for p in parts if p.get("choices")),
+        "".join(
+            event["choices"][0]["delta"].get("content") or "" for event in json_events if event.get("choices")
+        ),
         events[-1],
-        parts,
+        json_events,
     )
 
 
 @pytest.mark.parametrize("text", ["hi", LONG], ids=["short", "long"])
 def test_streamed_and_whole_answers_are_the_same(tmp_path, text):
-    async def play():
-        async with Loopback(tmp_path) as loop:
-            status, whole, head = await post_chat(loop.address, body(text, max_tokens=9))
-            streamed = await send_raw(loop.address, http(body(text, max_tokens=9, stream=True)))
-            words, last, _ = texts(streamed)
-            said = json.loads(whole)
-            assert status == 200 and last == b"[DONE]" and words
+    async def scenario():
+        async with Loopback(tmp_path) as loopback:
+            status, whole, head = await post_chat(loopback.address, body(text, max_tokens=9))
+            streamed = await send_raw(loopback.address, http(body(text, max_tokens=9, stream=True)))
+            content, last, _ = stream_content(streamed)
+            answer = json.loads(whole)
+            assert status == 200 and last == b"[DONE]" and content
             assert (
-                said["choices"][0]["message"]["content"] == words and said["usage"]["completion_tokens"] > 0
+                answer["choices"][0]["message"]["content"] == content
+                and answer["usage"]["completion_tokens"] > 0
             )
             assert "x-request-id" in head
-            held, gone = states(loop)
+            held, gone = held_states(loopback)
             assert held == gone == (2 if text is LONG else 0)
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -86,21 +89,21 @@
     ],
     ids=range(19),
 )
-def test_bad_reqs_get_one_clear_answer_and_the_router_lives(tmp_path, sent, status):
-    async def play():
-        async with Loopback(tmp_path) as loop:
-            answer = await send_raw(loop.address, sent)
+def test_bad_requests_get_one_error_and_the_router_keeps_serving(tmp_path, sent, status):
+    async def scenario():
+        async with Loopback(tmp_path) as loopback:
+            answer = await send_raw(loopback.address, sent)
             assert int(answer.split()[1]) == status
-            said = json.loads(answer.partition(b"\r\n\r\n")[2].split(b"HTTP/1.1")[0])
-            assert said["error"]["message"] and said["error"]["code"]
-            assert (await post_chat(loop.address, body()))[0] == 200
+            error = json.loads(answer.partition(b"\r\n\r\n")[2].split(b"HTTP/1.1")[0])
+            assert error["error"]["message"] and error["error"]["code"]
+            assert (await post_chat(loopback.address, body()))[0] == 200
 
-    run(play())
+    run(scenario())
 
 
-def test_keep_alive_chunked_bodies_and_models(tmp_path):
-    async def play():
-        async with Loopback(tmp_path) as loop:
+def test_keep_alive_chunked_bodies_and_the_list_of_models(tmp_path):
+    async def scenario():
+        async with Loopback(tmp_path) as loopback:
             data = json.dumps(body(max_tokens=2)).encode()
             chunked = (
                 (
@@ -112,81 +115,86 @@
             )
             models = http(b"", path="/v1/models", method="GET")
             answer = await send_raw(
-                loop.address, chunked, http(body(max_tokens=2), connection="keep-alive"), models
+                loopback.address, chunked, http(body(max_tokens=2), connection="keep-alive"), models
             )
             assert answer.count(b"HTTP/1.1 200 OK") == 3 and b'"id":"once"' in answer
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("stage", ["read", "fetch", "stream"])
-def test_a_client_that_leaves_is_let_go_of_at_once(tmp_path, stage):
-    async def play():
-        async with Loopback(tmp_path) as loop:
+def test_a_request_is_cancelled_at_once_when_its_client_disconnects(tmp_path, stage):
+    async def scenario():
+        async with Loopback(tmp_path) as loopback:
             if stage == "read":
-                loop.fault("rd", "slow", times=20.0)
+                loopback.fault("rd", "slow", times=20.0)
             if stage == "fetch":
-                loop.engines["rd"].like = type(loop.engines["rd"].like)(kind="reader", near_per_s=5000.0)
+                loopback.engines["rd"].like = type(loopback.engines["rd"].like)(
+                    kind="reader", near_per_s=5000.0
+                )
             if stage == "stream":
-                loop.fault("wr", "slow", times=30.0)
-            _, writer = await asyncio.open_connection(*loop.address.split(":"))
+                loopback.fault("wr", "slow", times=30.0)
+            _, writer = await asyncio.open_connection(*loopback.address.split(":"))
             writer.write(http(body(LONG, stream=True, max_tokens=400)))
             where = "rd" if stage == "read" else "wr"
-            await loop.until(lambda: forwards(loop, where))
+            await loopback.until(lambda: attempts_at(loopback, where))
             if stage == "stream":
-                await loop.until(lambda: any(line["ev"] == "ran" for line in loop.record("wr")))
+                await loopback.until(lambda: any(line["ev"] == "ran" for line in loopback.record("wr")))
             writer.close()
-            await loop.until(lambda: not loop.daemon.host.pending_requests, 1.0)
-            await loop.until(lambda: loop.record(where)[-1]["ev"] in ("end", "let_go", "wrote"), 3.0)
-            await loop.until(
-                lambda: states(loop)[0] == states(loop)[1]
-                and (stage != "read" or states(loop)[0] or loop.engines["rd"].reading == 0)
+            await loopback.until(lambda: not loopback.daemon.host.pending_requests, 1.0)
+            await loopback.until(lambda: loopback.record(where)[-1]["ev"] in ("end", "let_go", "wrote"), 3.0)
+            await loopback.until(
+                lambda: held_states(loopback)[0] == held_states(loopback)[1]
+                and (stage != "read" or held_states(loopback)[0] or loopback.engines["rd"].reading == 0)
             )
-            assert all(line.get("why") != "forgotten" for line in loop.record("rd"))
-            assert len(forwards(loop, "rd", "wr")) == (1 if stage == "read" else 2)
+            assert all(line.get("why") != "forgotten" for line in loopback.record("rd"))
+            assert len(attempts_at(loopback, "rd", "wr")) == (1 if stage == "read" else 2)
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("model", ["m", "once"])
-def test_a_writer_that_loses_its_answer(tmp_path, model):
-    """The work is done, nothing comes: a begun stream ends with an error event, else the budget ends it."""
-
-    async def play():
-        async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
-            loop.fault("wr", "lost", lasts=20)
-            loop.fault("wr2", "lost", lasts=20)
+def test_a_decode_engine_that_loses_its_answer(tmp_path, model):
+    """An engine computes its answer but never sends it. A stream that has begun ends with an error event;
+    a request whose stream has not begun fails at the end of its budget."""
+
+    async def scenario():
+        async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loopback:
+            loopback.fault("wr", "lost", lasts=20)
+            loopback.fault("wr2", "lost", lasts=20)
             began = time.monotonic()
             answers = await asyncio.gather(
                 *(
                     send_raw(
-                        loop.address, http(body(f"{n}", model=model, stream=True), x_req_budget_ms="900")
+                        loopback.address, http(body(f"{n}", model=model, stream=True), x_req_budget_ms="900")
                     )
                     for n in range(12)
                 )
             )
             for answer in answers:
                 status = int(answer.split()[1])
-                assert status in (200, 504, 502) and (status != 200 or b'"error"' in texts(answer)[1])
+                assert status in (200, 504, 502) and (
+                    status != 200 or b'"error"' in stream_content(answer)[1]
+                )
             assert {int(answer.split()[1]) for answer in answers} & {502, 504}
-            assert time.monotonic() - began < 3 and not loop.daemon.host.pending_requests
+            assert time.monotonic() - began < 3 and not loopback.daemon.host.pending_requests
             if model == "once":
-                assert len(forwards(loop, "wr", "wr2")) == 12
+                assert len(attempts_at(loopback, "wr", "wr2")) == 12
 
-    run(play())
+    run(scenario())
 
 
-def test_a_reader_that_answers_after_the_req_was_given_up(tmp_path):
-    async def play():
-        async with Loopback(tmp_path) as loop:
-            loop.fault("rd", "slow", times=10.0)
-            status, _, _ = await post_chat(loop.address, body(LONG), x_req_budget_ms="200")
+def test_a_prefill_engine_that_answers_after_the_request_failed(tmp_path):
+    async def scenario():
+        async with Loopback(tmp_path) as loopback:
+            loopback.fault("rd", "slow", times=10.0)
+            status, _, _ = await post_chat(loopback.address, body(LONG), x_req_budget_ms="200")
             assert status == 504
-            await loop.until(lambda: loop.engines["rd"].reading == 0)
+            await loopback.until(lambda: loopback.engines["rd"].reading == 0)
             await asyncio.sleep(0.1)
-            assert not loop.engines["rd"].held and states(loop)[0] == states(loop)[1]
+            assert not loopback.engines["rd"].held and held_states(loopback)[0] == held_states(loopback)[1]
 
-    run(play())
+    run(scenario())
 
 
 async def silent(reader, writer):
@@ -194,7 +202,7 @@
     writer.close()
 
 
-def says(*parts):
+def answering(*parts):
     async def handler(reader, writer):
         await reader.read(65_536)
         for part in parts:
@@ -206,8 +214,8 @@
     return handler
 
 
-HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
-WORD = b'data: {"choices":[{"index":0,"delta":{"content":"a "},"finish_reason":null}]}\n\n'
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
+TEXT_EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"a "},"finish_reason":null}]}\n\n'
 
 
 def chunk(data):
@@ -218,140 +226,144 @@
     ("handler", "statuses"),
     [
         (silent, {504}),
-        (says(b"HTTP/1.1 200 O"), {502, 504}),
-        (says(b"\x00\xffnot http\r\n\r\n"), {502, 504}),
-        (says(b"HTTP/1.1 200 OK\r\ncontent-length: 900\r\n\r\n{}"), {502, 504}),
-        (says(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}"), {502, 504}),
-        (says(b"HTTP/1.1 500 No\r\ncontent-length: 2\r\n\r\n{}"), {502, 504}),
-        (says(HEAD, chunk(b"data: {\n\n"), b"0\r\n\r\n"), {502, 504}),
-        (says(HEAD, b"zz\r\n"), {502, 504}),
-        (says(HEAD, b"0\r\n\r\n"), {502, 504}),
-        (says(HEAD, chunk(WORD)), {200}),
-        (says(HEAD, chunk(WORD + b"data: [DONE]\n\n" + WORD), b"0\r\n\r\n"), {200}),
+        (answering(b"HTTP/1.1 200 O"), {502, 504}),
+        (answering(b"\x00\xffnot http\r\n\r\n"), {502, 504}),
+        (answering(b"HTTP/1.1 200 OK\r\ncontent-length: 900\r\n\r\n{}"), {502, 504}),
+        (answering(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}"), {502, 504}),
+        (answering(b"HTTP/1.1 500 No\r\ncontent-length: 2\r\n\r\n{}"), {502, 504}),
+        (answering(STREAM_HEAD, chunk(b"data: {\n\n"), b"0\r\n\r\n"), {502, 504}),
+        (answering(STREAM_HEAD, b"zz\r\n"), {502, 504}),
+        (answering(STREAM_HEAD, b"0\r\n\r\n"), {502, 504}),
+        (answering(STREAM_HEAD, chunk(TEXT_EVENT)), {200}),
+        (answering(STREAM_HEAD, chunk(TEXT_EVENT + b"data: [DONE]\n\n" + TEXT_EVENT), b"0\r\n\r\n"), {200}),
     ],
 )
 @pytest.mark.parametrize("model", ["once", "m"])
-def test_engines_that_are_not_the_protocol(tmp_path, handler, statuses, model):
-    """Accepts and says nothing, half a head, garbage, a length that lies: one answer, in time, and only a
-    replayable req is tried elsewhere."""
+def test_engines_that_violate_the_protocol(tmp_path, handler, statuses, model):
+    """Engines that accept and stay silent, send half a head, garbage or a wrong length. The client gets one
+    answer in time, and only an idempotent request is sent to another engine."""
 
-    async def play():
-        hits = []
+    async def scenario():
+        connections = []
 
-        async def counted(reader, writer):
-            hits.append(1)
+        async def counting_handler(reader, writer):
+            connections.append(1)
             await handler(reader, writer)
 
-        async with Loopback(tmp_path, engines=(), handlers={"wr": counted, "wr2": counted}) as loop:
+        async with Loopback(
+            tmp_path, engines=(), handlers={"wr": counting_handler, "wr2": counting_handler}
+        ) as loopback:
             sent = http(body(model=model, stream=True), x_req_budget_ms="500")
-            answer = await send_raw(loop.address, sent)
+            answer = await send_raw(loopback.address, sent)
             assert int(answer.split()[1]) in statuses | ({503} if model == "m" else set())
             if statuses == {200}:
-                assert b'"error"' in texts(answer)[1] or texts(answer)[1] == b"[DONE]"
-            assert len(hits) == 1 or model == "m"
-            await loop.until(lambda: not loop.daemon.host.pending_requests, 0.5)
+                assert b'"error"' in stream_content(answer)[1] or stream_content(answer)[1] == b"[DONE]"
+            assert len(connections) == 1 or model == "m"
+            await loopback.until(lambda: not loopback.daemon.host.pending_requests, 0.5)
 
-    run(play())
+    run(scenario())
 
 
-def test_an_answer_split_over_every_byte(tmp_path):
-    async def play():
-        stream = chunk(WORD * 2 + 'data: {"choices":[{"delta":{"content":"não"}}]}\r\n\r\n'.encode())
-        stream = HEAD + stream + chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
-        odd = says(*(stream[at : at + 1] for at in range(len(stream))))
-        async with Loopback(tmp_path, engines=(), handlers={"wr": odd}) as loop:
-            answer = await send_raw(loop.address, http(body(stream=True)))
-            words, last, _ = texts(answer)
-            assert words == "a a não" and last == b"[DONE]"
+def test_an_answer_that_arrives_byte_by_byte(tmp_path):
+    async def scenario():
+        stream = chunk(TEXT_EVENT * 2 + 'data: {"choices":[{"delta":{"content":"não"}}]}\r\n\r\n'.encode())
+        stream = STREAM_HEAD + stream + chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
+        engine = answering(*(stream[at : at + 1] for at in range(len(stream))))
+        async with Loopback(tmp_path, engines=(), handlers={"wr": engine}) as loopback:
+            answer = await send_raw(loopback.address, http(body(stream=True)))
+            text, last, _ = stream_content(answer)
+            assert text == "a a não" and last == b"[DONE]"
 
-    run(play())
+    run(scenario())
 
 
-def test_two_news_in_one_turn(tmp_path):
-    """The stream begins and breaks in the same read."""
+def test_a_stream_that_begins_and_breaks_in_one_read(tmp_path):
+    """The router must handle both events in the right order."""
 
-    async def play():
-        async with Loopback(tmp_path, engines=(), handlers={"wr": says(HEAD + chunk(WORD))}) as loop:
-            answer = await send_raw(loop.address, http(body(stream=True)))
-            words, last, _ = texts(answer)
-            assert words == "a " and b"stream_broken" in last and not loop.daemon.host.pending_requests
+    async def scenario():
+        async with Loopback(
+            tmp_path, engines=(), handlers={"wr": answering(STREAM_HEAD + chunk(TEXT_EVENT))}
+        ) as loopback:
+            answer = await send_raw(loopback.address, http(body(stream=True)))
+            text, last, _ = stream_content(answer)
+            assert text == "a " and b"stream_broken" in last and not loopback.daemon.host.pending_requests
 
-    run(play())
+    run(scenario())
 
 
-def test_a_drain_that_is_told_while_a_forward_is_being_sent(tmp_path):
-    async def play():
-        async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
-            tries = [asyncio.create_task(post_chat(loop.address, body(str(n)))) for n in range(30)]
+def test_a_drain_that_is_announced_while_attempts_are_being_sent(tmp_path):
+    async def scenario():
+        async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loopback:
+            requests = [asyncio.create_task(post_chat(loopback.address, body(str(n)))) for n in range(30)]
             await asyncio.sleep(0.003)
-            loop.push_list(wr="draining")
-            told = time.monotonic_ns() // 1000
-            answers = await asyncio.gather(*tries)
-            answers += await asyncio.gather(*(post_chat(loop.address, body(str(n))) for n in range(10)))
+            loopback.push_list(wr="draining")
+            announced_at = time.monotonic_ns() // 1000
+            answers = await asyncio.gather(*requests)
+            answers += await asyncio.gather(*(post_chat(loopback.address, body(str(n))) for n in range(10)))
             assert {status for status, _, _ in answers} == {200}
-            assert all(line["t"] < told + 250_000 for line in forwards(loop, "wr"))
+            assert all(line["t"] < announced_at + 250_000 for line in attempts_at(loopback, "wr"))
 
-    run(play())
+    run(scenario())
 
 
 def test_a_slow_client_stops_its_engine_and_not_the_router(tmp_path):
-    async def play():
-        words = chunk(WORD * 200)
+    async def scenario():
+        block = chunk(TEXT_EVENT * 200)
 
-        async def fast(reader, writer):
+        async def fast_engine(reader, writer):
             await reader.read(65_536)
-            writer.write(HEAD)
-            for _ in range(4000):  # some 60 MB
-                writer.write(words)
-                sent[0] += len(words)
+            writer.write(STREAM_HEAD)
+            for _ in range(4000):  # some 60 MB in total
+                writer.write(block)
+                sent[0] += len(block)
                 await writer.drain()
             writer.write(chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n")
             writer.close()
 
         sent = [0]
-        async with Loopback(tmp_path, engines=(), handlers={"wr": fast}) as loop:
-            reader, writer = await asyncio.open_connection(*loop.address.split(":"), limit=1024)
+        async with Loopback(tmp_path, engines=(), handlers={"wr": fast_engine}) as loopback:
+            reader, writer = await asyncio.open_connection(*loopback.address.split(":"), limit=1024)
             writer.write(http(body(stream=True)))
             await reader.readline()
-            before = -1
-            while before != sent[0]:  # until the sockets' buffers are full
-                before = sent[0]
+            previously_sent = -1
+            while previously_sent != sent[0]:  # until the socket buffers are full
+                previously_sent = sent[0]
                 await asyncio.sleep(0.4)
             assert sent[0] < 40_000_000
             writer.transport.abort()
-            await loop.until(lambda: not loop.daemon.host.pending_requests)
+            await loopback.until(lambda: not loopback.daemon.host.pending_requests)
 
-    run(play())
+    run(scenario())
 
 
-def test_a_thousand_at_once_to_one_cold_engine(tmp_path):
-    async def play():
-        async with Loopback(tmp_path, engines=("rd", "wr")) as loop:
-            # It stays cold however long the thousand take: one that is warm again serves what it gets.
-            rules = msgspec.structs.replace(loop.fleet.rules, warm_within=60_000_000)
-            loop.daemon.host.router.slow_start.warm_within = rules.warm_within
-            loop.engines["wr"].warmth = Warmth(rules, time.monotonic_ns() // 1000, cold=True)
+def test_a_thousand_requests_at_once_to_one_cold_engine(tmp_path):
+    async def scenario():
+        async with Loopback(tmp_path, engines=("rd", "wr")) as loopback:
+            # The engine stays cold for the whole test: once warm, it would serve all that it gets.
+            rules = msgspec.structs.replace(loopback.fleet.rules, warm_within=60_000_000)
+            loopback.daemon.host.router.slow_start.warm_within = rules.warm_within
+            loopback.engines["wr"].warmth = Warmth(rules, time.monotonic_ns() // 1000, cold=True)
             started = time.time_ns() // 1000
-            entry = ListedEngine("wr", loop.engine_addresses["wr"], "a", 0, "writer", started_at=started)
-            loop.daemon.host.on_engine_list(ListNews(False, [entry]))
-            answers = await asyncio.gather(*(post_chat(loop.address, body(str(n))) for n in range(1000)))
-            ends = [status for status, _, _ in answers]
-            assert len(ends) == 1000 and set(ends) <= {200, 502, 503, 504}
-            assert not loop.engines["wr"].warmth.fallen and ends.count(503) > 900
-
-    run(play())
-
-
-def test_no_list_no_reqs_and_none_left(tmp_path):
-    async def play():
-        async with Loopback(tmp_path, engines=("rd", "wr")) as loop:
-            assert loop.daemon.condition().word == "ready"
-            loop.push_list(wr="gone")
-            assert loop.daemon.condition().word == "down" and not loop.daemon.condition().ready
-            status, said, head = await post_chat(loop.address, body())
+            entry = ListedEngine("wr", loopback.engine_addresses["wr"], "a", 0, "writer", started_at=started)
+            loopback.daemon.host.on_engine_list(ListNews(False, [entry]))
+            answers = await asyncio.gather(*(post_chat(loopback.address, body(str(n))) for n in range(1000)))
+            statuses = [status for status, _, _ in answers]
+            assert len(statuses) == 1000 and set(statuses) <= {200, 502, 503, 504}
+            assert not loopback.engines["wr"].warmth.fallen and statuses.count(503) > 900
+
+    run(scenario())
+
+
+def test_requests_are_rejected_without_a_list_or_a_ready_engine(tmp_path):
+    async def scenario():
+        async with Loopback(tmp_path, engines=("rd", "wr")) as loopback:
+            assert loopback.daemon.condition().word == "ready"
+            loopback.push_list(wr="gone")
+            assert loopback.daemon.condition().word == "down" and not loopback.daemon.condition().ready
+            status, answer, head = await post_chat(loopback.address, body())
             assert status == 503 and "retry-after" in head
-            loop.daemon.host.list_received_at = 0
-            status, said, head = await post_chat(loop.address, body())
-            assert status == 503 and b"not_ready" in said
+            loopback.daemon.host.list_received_at = 0
+            status, answer, head = await post_chat(loopback.address, body())
+            assert status == 503 and b"not_ready" in answer
 
-    run(play())
+    run(scenario())
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from loopback import SCRIPT, Loopback, body, http, send_raw
-from test_daemon import run, texts
+from test_daemon import run, stream_content
 from test_fleet import lifthead
 
 from lifthead.deployment import script
@@ -426,7 +426,7 @@
                 asyncio.create_task(send_raw(loop.address, http(body("x", stream=True)))) for _ in range(8)
             ]
             answers = await asyncio.gather(*tries)
-            assert all(texts(answer)[1] == b"[DONE]" for answer in answers)
+            assert all(stream_content(answer)[1] == b"[DONE]" for answer in answers)
             kept = usages(loop.daemon.ledger.journal)
             assert len(kept) == 8 and {entry.billed_answer for entry in kept} == {kept[0].sent}
 
@@ -438,7 +438,7 @@
             await loop.until(lambda: loop.daemon.ledger.unwritable)
             assert b"can't write its ledger" in await send_raw(loop.address, http(body("z")))
             disk.sync = sync
-            assert texts(await slow)[1] == b"[DONE]"
+            assert stream_content(await slow)[1] == b"[DONE]"
             await loop.until(lambda: not loop.daemon.ledger.unwritable)
             assert len(usages(loop.daemon.ledger.journal)) == 9
             write.cancel()
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from loopback import SCRIPT, Loopback, body, http, send_raw
-from test_daemon import forwards, run, texts
+from test_daemon import attempts_at, run, stream_content
 
 from lifthead.engines.codec import ListedEngine, ListNews
 from lifthead.interface import Effect, EndpointGroup
@@ -358,9 +358,9 @@
                 for stream in list(loop.engines["wr2"].running)[::2]:
                     stream.reset_after = stream.sent + 5
             for said, answer in zip(says, await asyncio.gather(*tries), strict=True):
-                words, last, _ = texts(answer)
+                words, last, _ = stream_content(answer)
                 assert last == b"[DONE]" and words == expected(said)
-            legs = len(forwards(loop, *names))
+            legs = len(attempts_at(loop, *names))
             assert (
                 legs > 12 and not loop.daemon.host.pending_requests and not loop.daemon.host._running_streams
             )
@@ -383,7 +383,7 @@
                 said = body(str(number), model=model, stream=True, max_tokens=300, **more)
                 answer = await send_raw(loop.address, http(said))
                 if b"event-stream" in answer:
-                    ends.append(texts(answer)[1])
+                    ends.append(stream_content(answer)[1])
             assert sum(b"stream_broken" in end for end in ends) > 2
             assert all(b"stream_broken" in end or end == b"[DONE]" for end in ends)  # whole before its reset
             assert time.monotonic() - began < 4 and not loop.daemon.host.pending_requests
@@ -428,9 +428,9 @@
                         ],
                     )
                 )
-            words, last, _ = texts(await answer)
+            words, last, _ = stream_content(await answer)
             assert last == b"[DONE]" and words == expected(said)
-            assert len(forwards(loop, "wr", "wr2")) == 1
+            assert len(attempts_at(loop, "wr", "wr2")) == 1
 
     run(play())
 
@@ -481,7 +481,7 @@
             for name in ("wr", "wr2"):
                 loop.engines[name].faults.clear()
             for said, answer in zip(says, await asyncio.gather(*tries), strict=True):
-                words, last, _ = texts(answer)
+                words, last, _ = stream_content(answer)
                 assert last == b"[DONE]" and words == expected(said)
 
     run(play())
