--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -182,7 +182,7 @@
     def reject(self, request_id: int, retry_after: int) -> None:
         pending = self.pending_requests[request_id]
         if pending.reply.begun:
-            return self._end_broken_stream(pending, "no engine could continue it")
+            return self._end_broken_stream(pending, "no place was found for the rest of it")
         if self._set_final_answer(pending, "pushed back"):
             headers = {
                 **self._reply_headers(pending),
@@ -190,17 +190,17 @@
                 "retry-after-ms": str(retry_after // 1000),
             }
             pending.reply.send_whole(
-                503, chat.error(503, "overloaded", "rejected: the request is safe to retry"), headers
+                503, chat.error(503, "overloaded", "pushed back: trying again does no harm"), headers
             )
 
     def fail(self, request_id: int) -> None:
         pending = self.pending_requests[request_id]
         if pending.reply.begun:
-            return self._end_broken_stream(pending, "it could not be continued in time")
+            return self._end_broken_stream(pending, "the rest of it could not be had in time")
         if self._set_final_answer(pending, "aborted"):
             late = now() - pending.accepted_at >= pending.request.budget * 9 // 10
             status, code = (504, "deadline") if late else (502, "aborted")
-            message = "failed: it is unknown whether the request had an effect"
+            message = "aborted: whether it had an effect is not known"
             headers = {**self._reply_headers(pending), "x-should-retry": "false"}
             pending.reply.send_whole(status, chat.error(status, code, message), headers)
 
@@ -246,7 +246,7 @@
         except (HttpError, ProtocolError, SpliceError) as problem:
             observation = Observation.STRANGE
             self._log.warning(
-                "malformed answer from an engine",
+                "strange answer",
                 req=pending.name,
                 engine=attempt.engine,
                 said=str(problem)[:200],
@@ -567,14 +567,12 @@
     def abort_all(self) -> None:
         """Fails all pending requests once the time limit of the stop is over, and logs each as an error."""
         for pending in list(self.pending_requests.values()):
-            self._log.error("failed: not finished before the time limit of the stop", req=pending.name)
+            self._log.error("aborted by the stop", req=pending.name)
             if self._set_final_answer(pending, "aborted"):
                 if pending.reply.begun:
-                    pending.reply.end(chat.error_event("stopping", "this router is stopping"))
+                    pending.reply.end(chat.error_event("stopping", "this router stops"))
                 else:
-                    pending.reply.send_whole(
-                        502, chat.error(502, "stopping", "failed: this router is stopping")
-                    )
+                    pending.reply.send_whole(502, chat.error(502, "stopping", "aborted: this router stops"))
                 self.router.on_client_left(pending.id)
             if pending.attempt:
                 self.cancel_attempt(pending.id, pending.attempt.number)
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from loopback import SCRIPT, Loopback, body, http, send_raw
-from test_daemon import forwards, run, texts
+from test_daemon import attempts_at, run, stream_content
 
 from lifthead.engines.codec import ListedEngine, ListUpdate
 from lifthead.interface import Idempotency, RequestClass
@@ -380,9 +380,9 @@
                 for stream in list(loop.engines["wr2"].running)[::2]:
                     stream.reset_after = stream.sent + 5
             for request, answer in zip(requests, await asyncio.gather(*attempts), strict=True):
-                answer_text, last, _ = texts(answer)
+                answer_text, last, _ = stream_content(answer)
                 assert last == b"[DONE]" and answer_text == expected(request)
-            attempts_seen = len(forwards(loop, *names))
+            attempts_seen = len(attempts_at(loop, *names))
             assert (
                 attempts_seen > 12
                 and not loop.daemon.host.pending_requests
@@ -407,7 +407,7 @@
                 request = body(str(number), model=model, stream=True, max_tokens=300, **fields)
                 answer = await send_raw(loop.address, http(request))
                 if b"event-stream" in answer:
-                    ends.append(texts(answer)[1])
+                    ends.append(stream_content(answer)[1])
             assert sum(b"stream_broken" in end for end in ends) > 2
             assert all(
                 b"stream_broken" in end or end == b"[DONE]" for end in ends
@@ -454,9 +454,9 @@
                         ],
                     )
                 )
-            answer_text, last, _ = texts(await answer)
+            answer_text, last, _ = stream_content(await answer)
             assert last == b"[DONE]" and answer_text == expected(request)
-            assert len(forwards(loop, "wr", "wr2")) == 1
+            assert len(attempts_at(loop, "wr", "wr2")) == 1
 
     run(play())
 
@@ -509,7 +509,7 @@
             for name in ("wr", "wr2"):
                 loop.engines[name].faults.clear()
             for request, answer in zip(requests, await asyncio.gather(*attempts), strict=True):
-                answer_text, last, _ = texts(answer)
+                answer_text, last, _ = stream_content(answer)
                 assert last == b"[DONE]" and answer_text == expected(request)
 
     run(play())
