--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -8,7 +8,7 @@
 import sys
 import time
 
-from lifthead.control import LOOK_ROUND, Router
+from lifthead.control import HEALTH_TIMER, Router
 from lifthead.interface import (
     AttemptOutcome,
     Deployment,
@@ -103,7 +103,7 @@
             found.append(sum(bench.req(number, prompt) for number in range(60, 60 + many)) / many * 1e6)
         start = time.perf_counter()
         for _ in range(10):
-            bench.router.on_timer(LOOK_ROUND)
+            bench.router.on_timer(HEALTH_TIMER)
         found.append((time.perf_counter() - start) / 10 * 1e6)
         print(f"{engines:>8}" + "".join(f"{each:>12.0f}" for each in found), flush=True)
 
--- a/lifthead/guard.py
+++ b/lifthead/guard.py
@@ -222,12 +222,14 @@
             return
         if not answered:
             goes_on_for = max(attempt.told_until - attempt.sent_at, 0) if attempt.reading else 0
-            self.releases.closed(attempt.serial, now, attempt.told_until, attempt.engine, goes_on_for)
+            self.releases.connection_closed(
+                attempt.serial, now, attempt.told_until, attempt.engine, goes_on_for
+            )
             self._unshown[attempt.serial] = attempt
             self._note(now, Fact.CLOSED, attempt)
         elif attempt.reading and proven_not_run:
             self._prefills.pop(attempt.serial, None)
-            self.releases.left_nothing(attempt.serial)
+            self.releases.did_not_run(attempt.serial)
             self._note(now, Fact.NOT_RUN, attempt)
         else:
             self.releases.answered(attempt.serial, now)
@@ -236,7 +238,7 @@
 
     def end_shown(self, attempt: Attempt, now: int) -> None:
         """The engine has ended its side of an attempt's connection that was closed."""
-        self.releases.end_shown(attempt.serial, now)
+        self.releases.end_seen(attempt.serial, now)
         if self._unshown.pop(attempt.serial, None):
             self._note(now, Fact.END_SHOWN, attempt)
 
@@ -270,7 +272,7 @@
         itself says nothing of what may be held."""
         self.begun = True
         if attempt.work is not Work.FETCH:
-            self.releases.begun(attempt.serial)
+            self.releases.first_token(attempt.serial)
             self._note(now, Fact.ANSWERED, attempt)
             return
         if self.held and self.is_leased:
@@ -281,17 +283,17 @@
     def state_gone(self) -> None:
         """The engine that was asked to fetch it says that there is none. Its holder may only be cut off or
         held up, and hold it still."""
-        self.releases.gone()
+        self.releases.state_gone()
         if self.held and self.is_leased:
             self.held.state = HeldState.POSSIBLE
 
     def release_wanted(self, now: int) -> None:
         """The request needs no state any more, or its state has been held for long enough."""
-        self.releases.wanted(now, self.attempt is not None and self.attempt.called_off)
+        self.releases.release_wanted(now, self.attempt is not None and self.attempt.called_off)
 
     def release_sent(self, now: int) -> None:
         """A release goes out; it proves nothing yet."""
-        self.releases.sent(now)
+        self.releases.release_sent(now)
         if self.held and self.held.state in (HeldState.POSSIBLE, HeldState.LEASED):
             self.held.state = HeldState.RELEASING
 
--- a/lifthead/lab/router.py
+++ b/lifthead/lab/router.py
@@ -340,4 +340,4 @@
 
 def hash_seed(seed: int, name: str, life: int) -> int:
     """A seed of its own for each life of each router; the same on every machine."""
-    return int.from_bytes(control.rank(f"{seed}|{life}", name))
+    return int.from_bytes(control.rendezvous_hash(f"{seed}|{life}", name))
--- a/lifthead/release_tasks.py
+++ b/lifthead/release_tasks.py
@@ -43,7 +43,7 @@
                 self._watches[engine] = self._spawn(self._watch(engine), f"whether {engine} runs")
         if changed := self._changed.get(guard):
             changed.set()
-        elif guard.releases.next_at() is not None:
+        elif guard.releases.next_release_at() is not None:
             self._changed[guard] = asyncio.Event()
             self._spawn(self._follow(guard), f"the releases of {guard.request}")
 
@@ -78,7 +78,7 @@
     async def _follow(self, guard: RequestGuard) -> None:
         changed = self._changed[guard]
         try:
-            while (due := guard.releases.next_at()) is not None:
+            while (due := guard.releases.next_release_at()) is not None:
                 changed.clear()
                 if (waits := due - self._now()) > 0:
                     with contextlib.suppress(TimeoutError):
--- a/lifthead/routing/tenant_shares.py
+++ b/lifthead/routing/tenant_shares.py
@@ -1,43 +1,44 @@
-"""How much of its share each tenant has used at this router.
+"""Tracks how much of its share each tenant uses at this router.
 
-Shares are granted per second and for all routers together, so each router counts against an even part of
-them: a token bucket per tenant, which holds what was left unused lately. Being over its share rejects nothing
-by itself; admission control is stricter with such a request.
+A share is a rate of requests for all routers together, so each router grants an even part of it, with a
+token bucket for each tenant. A request over its tenant's share is not rejected for that alone, but admission
+control is stricter with it.
 """
 
 from collections.abc import Mapping
 
 from lifthead.interface import Tenant
 
-SLACK = 1.5  # a tenant may send this router so many times an even part of its share ...
-BURST = 4  # ... and so many requests besides: with many routers an even part is less than one a window
-MICROSECONDS = 1_000_000
+SHARE_SLACK = 1.5  # a tenant may send this router this many times the even part of its share ...
+BURST_REQUESTS = 4  # ... and some requests besides, as with many routers that part is under one a window
+MICROS_PER_S = 1_000_000
 
 
 class TenantShares:
     """Token buckets of all tenants that have a share; a tenant without one is never over it."""
 
     def __init__(self, tenants: Mapping[str, Tenant], routers: int, window: int) -> None:
-        """`window`: microseconds; a bucket holds what two of them bring. `routers` share a quota evenly."""
-        even = SLACK / MICROSECONDS / routers
-        self._granted = {name: tenant.quota_per_s * even for name, tenant in tenants.items()}
-        self._rate = dict(self._granted)  # requests a microsecond
-        self._left = dict.fromkeys(self._granted, float(BURST))  # requests
-        self._counted_at = dict.fromkeys(self._granted, 0)
+        """`window`: microseconds; a bucket holds the tokens of two windows. `routers` share a quota
+        evenly."""
+        scale = SHARE_SLACK / MICROS_PER_S / routers
+        self._full_rate = {name: tenant.quota_per_s * scale for name, tenant in tenants.items()}
+        self._rate = dict(self._full_rate)  # requests per microsecond
+        self._tokens = dict.fromkeys(self._full_rate, float(BURST_REQUESTS))  # requests
+        self._counted_at = dict.fromkeys(self._full_rate, 0)
         self._window = window
 
-    def set_part(self, tenant: str, part: float) -> None:
-        """The tenant has this part of its share from here on; an unknown tenant is ignored."""
-        if tenant in self._granted:
-            self._rate[tenant] = self._granted[tenant] * part
+    def set_fraction(self, tenant: str, fraction: float) -> None:
+        """Grants the tenant this fraction of its share from now on; an unknown tenant is ignored."""
+        if tenant in self._full_rate:
+            self._rate[tenant] = self._full_rate[tenant] * fraction
 
-    def count(self, tenant: str, now: int) -> bool:
-        """Counts one request; whether it is beyond the tenant's share."""
+    def count_request(self, tenant: str, now: int) -> bool:
+        """Counts one request. True if it is over the tenant's share."""
         if tenant not in self._rate:
             return False
         rate = self._rate[tenant]
-        refilled = self._left[tenant] + (now - self._counted_at[tenant]) * rate
-        left = min(refilled, 2 * self._window * rate + BURST)
-        self._left[tenant] = max(left - 1, 0.0)
+        refilled = self._tokens[tenant] + (now - self._counted_at[tenant]) * rate
+        tokens = min(refilled, 2 * self._window * rate + BURST_REQUESTS)
+        self._tokens[tenant] = max(tokens - 1, 0.0)
         self._counted_at[tenant] = now
-        return left < 1
+        return tokens < 1
--- a/lifthead/routing/work_split.py
+++ b/lifthead/routing/work_split.py
@@ -1,7 +1,8 @@
-"""Divides work among zones, or cells of a zone, whose engines can do unequal parts of it.
+"""Divides work among zones, or among the cells of a zone, whose engines have unequal capacity.
 
-A router's own tokens show nothing of an uneven fleet when many routers send little each, so the list of
-engines tells it: each place keeps what its engines can take, and the rest goes where there is room.
+With many routers that each send little, a router's own reserved tokens don't show that a fleet is uneven, so
+the split follows the weights in the list of engines: each location keeps what its engines can take, and the
+rest goes to locations with spare capacity.
 """
 
 from collections.abc import Hashable, Iterable, Mapping
@@ -9,46 +10,54 @@
 
 from lifthead.state import Engine
 
-Place: TypeAlias = Hashable  # the name of a zone, or the number of a cell
+Location: TypeAlias = Hashable  # the name of a zone, or the number of a cell
 
 
 class WorkSplit:
-    """How work that comes up at each place is divided among places with capacity for it."""
-
-    def __init__(self, needs: Mapping[Place, float], capacity: Mapping[Place, float], slack: float) -> None:
-        """Parts of all work that come up at each place, and of all capacity that it has; a place may be sent
-        `slack` times the part that its capacity says."""
-        self._kept = {
-            place: min(1.0, slack * capacity.get(place, 0.0) / (need or 1)) for place, need in needs.items()
+    """How the work that arises at each location is divided among the locations with capacity."""
+
+    def __init__(
+        self, demand: Mapping[Location, float], capacity: Mapping[Location, float], slack: float
+    ) -> None:
+        """`demand` and `capacity` are shares of all work and of all capacity by location. A location may be
+        sent `slack` times its share of the capacity."""
+        self._kept_share = {
+            location: min(1.0, slack * capacity.get(location, 0.0) / (demanded or 1))
+            for location, demanded in demand.items()
+        }
+        self._spare_share = {
+            location: max(slack * share - demand.get(location, 0.0), 0.0)
+            for location, share in capacity.items()
         }
-        self._spare = {
-            place: max(slack * part - needs.get(place, 0.0), 0.0) for place, part in capacity.items()
+        self._spare_total = sum(self._spare_share.values())
+        self.assigned = {
+            location: demanded * self._kept_share[location] for location, demanded in demand.items()
         }
-        self._spare_total = sum(self._spare.values())
-        self.taken = {place: need * self._kept[place] for place, need in needs.items()}
-        rest = sum(needs.values()) - sum(self.taken.values())
-        for place, part in self._spare.items():
-            self.taken[place] = self.taken.get(place, 0.0) + rest * part / (self._spare_total or 1)
-
-    def place(self, origin: Place, drawn: float) -> Place:
-        """Where a piece of work from `origin` goes, for a number drawn between 0 and 1."""
-        kept = self._kept.get(origin, 1.0)
-        if drawn < kept:
+        rest = sum(demand.values()) - sum(self.assigned.values())
+        for location, share in self._spare_share.items():
+            self.assigned[location] = self.assigned.get(location, 0.0) + rest * share / (
+                self._spare_total or 1
+            )
+
+    def choose(self, origin: Location, fraction: float) -> Location:
+        """The location for a piece of work from `origin`; `fraction` is drawn between 0 and 1."""
+        kept_share = self._kept_share.get(origin, 1.0)
+        if fraction < kept_share:
             return origin
-        left = (drawn - kept) / max(1 - kept, 1e-9) * self._spare_total
-        for other, part in self._spare.items():
-            left -= part
-            if left < 0:
+        remaining = (fraction - kept_share) / max(1 - kept_share, 1e-9) * self._spare_total
+        for other, share in self._spare_share.items():
+            remaining -= share
+            if remaining < 0:
                 return other
         return origin
 
 
-def capacity_parts(engines: Iterable[Engine], by: Literal["zone", "cell"]) -> dict[Place, float]:
-    """The part of these engines' weight that each zone or cell holds."""
-    weights: dict[Place, float] = {}
+def capacity_shares(engines: Iterable[Engine], by: Literal["zone", "cell"]) -> dict[Location, float]:
+    """Each zone's or cell's share of the total weight of these engines."""
+    weights: dict[Location, float] = {}
     engines = list(engines)
     total = sum(engine.weight for engine in engines)
     for engine in engines:
-        place = getattr(engine, by)
-        weights[place] = weights.get(place, 0.0) + engine.weight / total
+        location = getattr(engine, by)
+        weights[location] = weights.get(location, 0.0) + engine.weight / total
     return weights
--- a/tests/runs.py
+++ b/tests/runs.py
@@ -1,13 +1,12 @@
-"""Runs of real processes, and whether they can be judged."""
+"""Repeats runs of real processes until one can be judged."""
 
-TRIES = 3
+MAX_RUNS = 3
 
 
-async def judged(play):
-    """What a run showed in which the harness itself was in time. One that was held up for too long by the
-    machine has no verdict, passed or failed, and is made again; the last is returned as it is. `play`: makes
-    the n-th run."""
-    for number in range(TRIES):
+async def run_until_judged(play):
+    """The result of a run in which the harness itself kept its schedule. A run that the machine delayed too
+    much has no verdict and is repeated; the last one is returned in any case. `play` makes the n-th run."""
+    for number in range(MAX_RUNS):
         result = await play(number)
         if not result.refused:
             break
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -556,7 +556,7 @@
     async def play(node):
         async with Client(node.address) as client:
             await client.send(chat(5000))
-            await node.until(lambda: node.host.router.asking)
+            await node.until(lambda: node.host.router.awaiting_probes)
             if leave == "reset":
                 reset(client.writer)
             elif leave == "shut":
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -327,7 +327,7 @@
         async with Loopback(tmp_path, engines=("rd", "wr")) as loop:
             # It stays cold however long the thousand take: one that is warm again serves what it gets.
             rules = msgspec.structs.replace(loop.fleet.rules, warm_within=60_000_000)
-            loop.daemon.host.router.slow_start.warm_within = rules.warm_within
+            loop.daemon.host.router.slow_start.duration = rules.warm_within
             loop.engines["wr"].warmth = Warmth(rules, time.monotonic_ns() // 1000, cold=True)
             started = time.time_ns() // 1000
             entry = ListedEngine("wr", loop.listed["wr"], "a", 0, "writer", started_at=started)
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,5 +1,5 @@
-"""Nobody is singled out: the largest prompts of a class, and the sessions of an overloaded prefill engine,
-are served as the rest of their class on a quiet day. Many `control.Router`s in one process, on one clock."""
+"""Fairness: on a quiet day the largest prompts of a class and the sessions of an overloaded prefill engine
+are served like the rest of their class. Many `control.Router`s in one process, on one simulated clock."""
 
 import random
 from collections import Counter, defaultdict
@@ -8,21 +8,21 @@
 from itertools import count
 
 import pytest
-from helpers import GROUP, Bench, entry
+from helpers import REQUEST_CLASS, RecordingHost, entry
 
 from lifthead.interface import AttemptOutcome, LoadReport, RequestSpec
 
 SPEED = 15_000  # prompt tokens a second of a prefill engine
 FETCH, STREAM, OVERHEAD = 15_000, 400_000, 5_000  # microseconds
 
-# Settings of made-up customers: the TTFT target, how it grows with 1,000 tokens of the prompt, how long
-# clients wait, and how engines tell their load.
+# TTFT target, its growth for each 1,000 prompt tokens, how long clients wait, and how engines report their
+# load.
 SETTINGS = {
     "targets grow, load with answers": (1_200_000, 120_000, 8_000_000, "answers"),
     "flat target, load with answers": (1_200_000, 0, 5_000_000, "answers"),
-    "flat short target, no load told": (900_000, 0, 4_000_000, "none"),
-    "flat target, load when asked": (1_000_000, 0, 5_000_000, "asked"),
-    "short target, long patience": (500_000, 40_000, 10_000_000, "asked"),
+    "flat short target, no load reports": (900_000, 0, 4_000_000, "none"),
+    "flat target, load on probes": (1_000_000, 0, 5_000_000, "probes"),
+    "short target, long patience": (500_000, 40_000, 10_000_000, "probes"),
 }
 
 
@@ -35,8 +35,8 @@
     answered: bool = False
 
 
-class Seat(Bench):
-    """One router of the fleet; what it does happens on the fleet's clock."""
+class FleetRouter(RecordingHost):
+    """One router of the fleet, with timers and engines on the fleet's clock."""
 
     def __init__(self, fleet, **changes):
         self.fleet = fleet
@@ -46,9 +46,9 @@
         return self.fleet.clock
 
     def set_timer(self, after, key):
-        self.fleet.at(self.fleet.clock + max(after, 1), self.router_of, "on_timer", key)
+        self.fleet.at(self.fleet.clock + max(after, 1), self.call_router, "on_timer", key)
 
-    def router_of(self, method, *args):
+    def call_router(self, method, *args):
         getattr(self.router, method)(*args)
 
     def probe(self, engine):
@@ -59,80 +59,84 @@
 
     def start_attempt(self, request_id, engine, abandon_at, send_by):
         super().start_attempt(request_id, engine, abandon_at, send_by)
-        number = len(self.sent[request_id]) - 1
+        number = len(self.sent_to[request_id]) - 1
         if engine[0] == "R":
-            took, found = self.fleet.read(engine, self.fleet.asked[self, request_id])
-            self.fleet.at(self.fleet.clock + took, self._read, request_id, number, engine, took, found)
+            took, found = self.fleet.prefill(engine, self.fleet.requests[self, request_id])
+            self.fleet.at(self.fleet.clock + took, self._prefilled, request_id, number, engine, took, found)
         else:
-            self.fleet.at(self.fleet.clock + FETCH, self._begin, request_id, number, engine)
+            self.fleet.at(self.fleet.clock + FETCH, self._first_token, request_id, number, engine)
 
-    def _over(self, req, number, engine, ending, took, note, final):
-        told = self.fleet.report(engine) if self.fleet.tells == "answers" else None
-        self.router.on_attempt_ended(req, number, engine, ending, took, note, final, told)
+    def _end(self, request_id, number, engine, outcome, took, detail, final):
+        report = self.fleet.report(engine) if self.fleet.reports == "answers" else None
+        self.router.on_attempt_ended(request_id, number, engine, outcome, took, detail, final, report)
 
-    def _read(self, req, number, engine, took, found):
-        if self.ended(req, number):
+    def _prefilled(self, request_id, number, engine, took, found):
+        if self.cancelled(request_id, number):
             return
-        self._over(req, number, engine, AttemptOutcome.PREFILLED, took, found, False)
+        self._end(request_id, number, engine, AttemptOutcome.PREFILLED, took, found, False)
 
-    def _begin(self, req, number, engine):
-        if self.ended(req, number):
+    def _first_token(self, request_id, number, engine):
+        if self.cancelled(request_id, number):
             return
-        self.fleet.asked[self, req].answered = True
-        self.router.on_first_token(req, number, FETCH)
-        done = (req, number, engine, AttemptOutcome.COMPLETED, STREAM, 0, True)
-        self.fleet.at(self.fleet.clock + STREAM, self._over, *done)
-
-    def ended(self, req, number):
-        """Whether it was called off; then that is told."""
-        if ("cancel_attempt", req, number) not in self.did:
+        self.fleet.requests[self, request_id].answered = True
+        self.router.on_first_token(request_id, number, FETCH)
+        done = (request_id, number, engine, AttemptOutcome.COMPLETED, STREAM, 0, True)
+        self.fleet.at(self.fleet.clock + STREAM, self._end, *done)
+
+    def cancelled(self, request_id, number):
+        """Whether the attempt was cancelled; its end is reported then."""
+        if ("cancel_attempt", request_id, number) not in self.actions:
             return False
-        self._over(req, number, self.sent[req][number], AttemptOutcome.CANCELLED, 1000, 0, True)
+        self._end(
+            request_id, number, self.sent_to[request_id][number], AttemptOutcome.CANCELLED, 1000, 0, True
+        )
         return True
 
 
 class Fleet:
-    def __init__(self, settings, seed, routers=6, readers=6):
-        target, grows, self.patience, self.tells = SETTINGS[settings]
-        self.chance, self.clock = random.Random(seed), 100_000_000
+    def __init__(self, settings, seed, routers=6, engines=6):
+        target, grows, self.patience, self.reports = SETTINGS[settings]
+        self.random, self.clock = random.Random(seed), 100_000_000
         self.heap, self.serial = [], count()
-        names = [f"R{n}" for n in range(readers)] + [f"W{n}" for n in range(readers)]
+        names = [f"R{n}" for n in range(engines)] + [f"W{n}" for n in range(engines)]
         self.entries = [entry(name) for name in names]
         self.free_at = dict.fromkeys(names, 0)
-        self.kept = defaultdict(Counter)
-        self.asked = {}
-        asked = self.tells == "asked"
-        group = replace(GROUP, ttft_target=target, ttft_target_per_1000=grows, deadline=self.patience)
+        self.cached = defaultdict(Counter)
+        self.requests = {}
+        on_probe = self.reports == "probes"
+        request_class = replace(
+            REQUEST_CLASS, ttft_target=target, ttft_target_per_1000=grows, deadline=self.patience
+        )
         changes = {
-            "request_classes": {"chat": group}, "routers": routers, "decode_engines_prefill": False,
-            "tenants": {}, "may_probe": asked, "reports_on_probe": asked,
+            "request_classes": {"chat": request_class}, "routers": routers, "decode_engines_prefill": False,
+            "tenants": {}, "may_probe": on_probe, "reports_on_probe": on_probe,
         }  # fmt: skip
-        self.seats = [Seat(self, seed=seed * 100 + n, **changes) for n in range(routers)]
+        self.routers = [FleetRouter(self, seed=seed * 100 + n, **changes) for n in range(routers)]
 
     def at(self, when, what, *args):
         heappush(self.heap, (when, next(self.serial), what, args))
 
     def report(self, engine):
-        waits = max(self.free_at[engine] - self.clock, 0) * SPEED // 1_000_000
+        backlog = max(self.free_at[engine] - self.clock, 0) * SPEED // 1_000_000
         return LoadReport(
-            in_flight=1, queued=int(waits > 0), memory_used=0.2, prefill_backlog_thousands=waits / 1000
+            in_flight=1, queued=int(backlog > 0), memory_used=0.2, prefill_backlog_thousands=backlog / 1000
         )
 
-    def read(self, engine, sent):
-        found = min(self.kept[engine][sent.session], sent.prompt)
-        self.kept[engine][sent.session] = sent.prompt
+    def prefill(self, engine, sent):
+        found = min(self.cached[engine][sent.session], sent.prompt)
+        self.cached[engine][sent.session] = sent.prompt
         began = max(self.free_at[engine], self.clock)
         self.free_at[engine] = began + OVERHEAD + (sent.prompt - found) * 1_000_000 // SPEED
         return self.free_at[engine] - self.clock, found
 
-    def ask(self, sent, beginning=("", 0)):
-        seat = self.chance.choice(self.seats)
-        seat.next_id = req = seat.next_id + 1
-        self.asked[seat, req] = sent
-        demand = RequestSpec(
-            req, "chat", "", self.patience, sent.prompt, 200, sent.session, *beginning, 0, False
+    def send(self, sent, prefix=("", 0)):
+        router_host = self.random.choice(self.routers)
+        router_host.next_id = request_id = router_host.next_id + 1
+        self.requests[router_host, request_id] = sent
+        spec = RequestSpec(
+            request_id, "chat", "", self.patience, sent.prompt, 200, sent.session, *prefix, 0, False
         )
-        seat.router.on_request(demand)
+        router_host.router.on_request(spec)
 
     def play(self, until):
         while self.heap and self.heap[0][0] <= until:
@@ -151,17 +155,18 @@
 @pytest.mark.parametrize("settings", SETTINGS)
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_largest_prompts_get_their_share_on_a_quiet_day(settings, seed):
-    """The tenth with the longest prompts and the next fifth: two thirds of the class's answered share."""
+    """The longest tenth of the prompts, and the next fifth, are served at least two thirds as often as
+    all."""
     fleet = Fleet(settings, seed)
-    chance = fleet.chance
+    chance = fleet.random
     drawn = prompts(chance, 6000, 0.7, 45_000)
     sent, rate = [], 0.45 * 6 * SPEED / 9000
     for n in range(1200):
         fleet.play(fleet.clock + int(chance.expovariate(rate) * 1e6))
         sent.append(Sent(f"s{n}", next(drawn)))
-        fleet.ask(sent[-1])
+        fleet.send(sent[-1])
     fleet.play(fleet.clock + 20_000_000)
-    sent = sent[200:]  # what comes first tells the routers how fast engines are
+    sent = sent[200:]  # the first ones train the routers' pace measurements
     sent.sort(key=lambda each: -each.prompt)
     shares = [sum(each.answered for each in part) / len(part) for part in (sent, sent[:100], sent[100:300])]
     assert min(shares[1:]) >= shares[0] * 2 / 3, shares
@@ -169,10 +174,10 @@
 
 @pytest.mark.parametrize("settings", SETTINGS)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_no_sessions_are_refused_throughout_while_there_is_room(settings, seed):
-    """A third of the sessions begin with one text, and all of those hash to one prefill engine."""
+def test_no_sessions_are_rejected_throughout_while_there_is_room(settings, seed):
+    """A third of the sessions share one prefix, and all of these hash to one prefill engine."""
     fleet = Fleet(settings, seed)
-    chance = fleet.chance
+    chance = fleet.random
     sessions, sent, rate = [], [], 0.5 * 6 * SPEED / 5000
     for n in range(2400):
         fleet.play(fleet.clock + int(chance.expovariate(rate) * 1e6))
@@ -183,11 +188,11 @@
         session[2] += 300
         sent.append(Sent(session[0], session[2]))
         session[3].append(sent[-1])
-        fleet.ask(sent[-1], ("hot", session[2] * 6 // 10) if session[1] else ("", 0))
+        fleet.send(sent[-1], ("hot", session[2] * 6 // 10) if session[1] else ("", 0))
     fleet.play(fleet.clock + 20_000_000)
     sessions = [turns for *_, turns in sessions[40:] if turns]
-    refused = sum(not each.answered for turns in sessions for each in turns)
-    share = refused / sum(map(len, sessions))
+    rejected = sum(not each.answered for turns in sessions for each in turns)
+    share = rejected / sum(map(len, sessions))
     throughout = sum(not any(each.answered for each in turns) for turns in sessions) / len(sessions)
     by_chance = sum(share ** len(turns) for turns in sessions) / len(sessions)
     assert throughout <= by_chance + 0.12, (throughout, by_chance, share)
--- a/tests/test_fault_reproductions.py
+++ b/tests/test_fault_reproductions.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from runs import judged
+from runs import run_until_judged
 
 from lifthead.standins.faults.reproductions import REPRODUCTIONS, REQUESTS, SLOW_ENGINES, play
 
@@ -24,7 +24,7 @@
         async def one(reproduction):
             path, source = tmp_path_factory.mktemp(reproduction.name), Path(__file__).parent.parent
             async with free, asyncio.timeout(WITHIN):
-                return await judged(lambda number: play(reproduction, path / str(number), source))
+                return await run_until_judged(lambda number: play(reproduction, path / str(number), source))
 
         slow = [each for group in SLOW_ENGINES.values() for each in group]
         return await asyncio.gather(*map(one, [*REPRODUCTIONS.values(), *slow]))
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from runs import judged
+from runs import run_until_judged
 
 from lifthead.standins.faults import settings
 from lifthead.standins.faults.checker import breaches
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize("seed", [2, 5, 16, 117, 140])  # each showed a fault of ours, or of the oracle, once
 def test_no_rule_is_broken_while_faults_overlap(seed, tmp_path):
     source = Path(__file__).parent.parent
-    result = asyncio.run(judged(lambda number: play(draw(seed), tmp_path / str(number), source)))
+    result = asyncio.run(run_until_judged(lambda number: play(draw(seed), tmp_path / str(number), source)))
     assert result.passed and not result.refused, str(result)
     assert result.processes >= 10 and result.outcomes["whole"] > sum(result.outcomes.values()) / 2
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -56,7 +56,7 @@
 def releases_sent(guard, until=FOREVER):
     """Sends each release that is due, has it taken, and returns when each went out and what it proved."""
     found = []
-    while (at := guard.releases.next_at()) is not None and at < until:
+    while (at := guard.releases.next_release_at()) is not None and at < until:
         guard.release_sent(at)
         found.append((at, guard.release_taken(at)))
     return found
@@ -146,10 +146,10 @@
     one = attempt(guard, Work.PREFILL, engine="p")
     guard.writing(one, 1)
     guard.release_wanted(1)
-    assert guard.releases.next_at() is None  # it is in flight
+    assert guard.releases.next_release_at() is None  # it is in flight
     guard.ended(one, 2, proven_not_run=False, answered=False)
     assert not guard.may_have_run and guard.held.state is HeldState.POSSIBLE
-    assert guard.holders == {0: "p"} and guard.releases.next_at() < ALLOWED
+    assert guard.holders == {0: "p"} and guard.releases.next_release_at() < ALLOWED
 
 
 def test_a_prefill_that_is_proven_not_run_leaves_nothing(reported):
@@ -157,7 +157,7 @@
     one = attempt(guard, Work.PREFILL, engine="p")
     guard.writing(one, 1)
     guard.ended(one, 2, proven_not_run=True, answered=True)
-    assert guard.holders == {} and guard.releases.next_at() is None and not guard.overdue(DUE)
+    assert guard.holders == {} and guard.releases.next_release_at() is None and not guard.overdue(DUE)
 
 
 @pytest.mark.parametrize("late", [0, 1])
@@ -179,7 +179,7 @@
     assert released.release_taken(ALLOWED)
     assert not fetched.overdue(DUE) and not released.overdue(DUE) and reported == []
     assert (fetched.held.state, released.held.state) == (HeldState.FETCHED, HeldState.RELEASED)
-    assert fetched.releases.next_at() is None and released.releases.next_at() is None
+    assert fetched.releases.next_release_at() is None and released.releases.next_release_at() is None
 
 
 def test_a_release_that_is_answered_late_is_counted_once(reported):
@@ -210,7 +210,7 @@
     guard.release_sent(200_000)
     assert not guard.release_taken(200_000)
     guard.ended(call, 640_000, proven_not_run=False, answered=False)
-    again = guard.releases.next_at()
+    again = guard.releases.next_release_at()
     assert 640_000 < again < 640_000 + ALLOWED and guard.held_at == "p"
     assert guard.overdue(640_000 + ALLOWED + HELD_SLACK + 1)
 
@@ -222,13 +222,13 @@
     call = called(guard, 1)
     call.called_off = True
     guard.release_wanted(2)
-    assert guard.releases.next_at() == 285_000  # the end of the call asks for one sooner
+    assert guard.releases.next_release_at() == 285_000  # the end of the call asks for one sooner
     guard.ended(call, 3, proven_not_run=False, answered=False)
     guard.end_shown(call, 5_000)
-    assert guard.releases.next_at() == 5_000
+    assert guard.releases.next_release_at() == 5_000
     guard.release_sent(after)
     assert guard.release_taken(after) is proves
-    assert (guard.releases.next_at() is None) is proves
+    assert (guard.releases.next_release_at() is None) is proves
 
 
 def test_a_call_in_flight_asks_for_no_releases_once_what_was_closed_before_it_is_over(reported):
@@ -241,7 +241,7 @@
     sent = releases_sent(guard, until=4_000_000)
     assert [proved for _, proved in sent] == [False]
     guard.ended(second, 900_000, proven_not_run=False, answered=True)
-    assert guard.releases.next_at() == 900_000
+    assert guard.releases.next_release_at() == 900_000
 
 
 @pytest.mark.parametrize("shown", [False, True])
@@ -255,7 +255,7 @@
     guard.release_wanted(285_000)
     if shown:
         guard.end_shown(first, 285_001)
-    assert guard.releases.next_at() == 285_000
+    assert guard.releases.next_release_at() == 285_000
 
 
 def test_no_further_attempt_puts_off_the_release_at_the_end_of_a_lease(reported):
@@ -268,13 +268,15 @@
     again = attempt(guard, Work.PREFILL, 2, "p")
     guard.writing(again, 284_000)
     guard.end_shown(call, 286_000)
-    assert guard.releases.next_at() == 285_000
+    assert guard.releases.next_release_at() == 285_000
     guard.release_sent(285_000)
     guard.release_taken(285_000)
     guard.leased(again, 512_000)
     guard.ended(again, 512_000, proven_not_run=False, answered=True)
     called(guard, 513_000)
-    assert guard.releases.next_at() == 279_000 + int(1.35 * ALLOWED)  # the first one may have been too early
+    assert guard.releases.next_release_at() == 279_000 + int(
+        1.35 * ALLOWED
+    )  # the first one may have been too early
     assert not guard.overdue(813_000)
 
 
@@ -315,13 +317,13 @@
 @pytest.mark.parametrize("work", Work)
 def test_releases_rest_while_an_engine_stands_still_and_go_on_with_its_answer(work, reported):
     guard = stood_still(reported, work)
-    assert guard.releases.next_at() is None and guard.held_at
+    assert guard.releases.next_release_at() is None and guard.held_at
     assert guard.releases.silent_engines(9_000_000) == {"still": 1_000_000}
     guard.engine_runs("other", 9_000_000, 9_000_000)
     guard.engine_runs("still", 999_999, 9_000_000)  # it may have begun to stand still since
-    assert guard.releases.next_at() is None
+    assert guard.releases.next_release_at() is None
     guard.engine_runs("still", 7_500_000, 9_000_000)  # it may have gone on only now
-    assert guard.releases.silent_engines(9_000_000) == {} and guard.releases.next_at() < 9_000_000
+    assert guard.releases.silent_engines(9_000_000) == {} and guard.releases.next_release_at() < 9_000_000
     guard.release_sent(9_000_001)
     assert not guard.release_taken(9_000_001)  # it may be about to give the attempt up, or to end the prefill
     sent = [at for at, _ in releases_sent(guard)]
@@ -343,7 +345,7 @@
     second = attempt(guard, Work.PREFILL, 1, "p1")
     guard.writing(second, 2)
     guard.ended(second, 3, proven_not_run=True, answered=True)
-    assert guard.held_at and guard.releases.next_at() is not None
+    assert guard.held_at and guard.releases.next_release_at() is not None
 
 
 def test_a_call_that_ended_before_it_was_written_leaves_the_state_to_be_released(reported):
@@ -353,7 +355,7 @@
     call.called_off = True
     guard.release_wanted(2)
     guard.ended(call, 3, proven_not_run=False, answered=False)
-    assert guard.releases.next_at() == 3
+    assert guard.releases.next_release_at() == 3
 
 
 def test_a_state_left_at_one_engine_is_not_forgotten_with_a_prefill_at_another(reported):
@@ -367,7 +369,7 @@
     guard.ended(second, 4, proven_not_run=False, answered=True)
     assert guard.holders == {0: "p0", 1: "p1"}
     guard.fetched(called(guard, 5), 6)
-    assert guard.releases.next_at() < ALLOWED  # what the first may leave late is still released
+    assert guard.releases.next_release_at() < ALLOWED  # what the first may leave late is still released
 
 
 @pytest.mark.parametrize("answers", [(True, True), (True, False)])
@@ -387,7 +389,7 @@
     call = called(guard, 1)
     guard.state_gone()
     guard.ended(call, 2, proven_not_run=True, answered=True)
-    assert guard.releases.next_at() == 2
+    assert guard.releases.next_release_at() == 2
 
 
 def test_violations_are_told_by_rule():
@@ -403,4 +405,4 @@
     whole = called(guard, 900_000, Work.WHOLE)
     guard.fetched(whole, 950_000)
     assert reported == [] and guard.held.state is HeldState.RELEASING
-    assert guard.releases.next_at() is not None
+    assert guard.releases.next_release_at() is not None
--- a/tests/test_held_audit.py
+++ b/tests/test_held_audit.py
@@ -82,10 +82,10 @@
                 guard.end_shown(call, 650_000)
         guard.release_sent(at)
         guard.release_taken(at)
-        at = guard.releases.next_at() or (640_000 if guard.attempt else None)
+        at = guard.releases.next_release_at() or (640_000 if guard.attempt else None)
         if at is None and runs_at:
             guard.engine_runs("d", runs_at - 1_500_000, runs_at)
-            at, runs_at = guard.releases.next_at() and runs_at, 0
+            at, runs_at = guard.releases.next_release_at() and runs_at, 0
     guard.overdue(until)
     return reported
 
@@ -106,11 +106,11 @@
 
 def test_an_answer_that_is_believed_beside_a_call_is_seen(monkeypatch):
     monkeypatch.setattr(releases.ReleaseSchedule, "_proves", lambda *_: True)
-    monkeypatch.setattr(releases.ReleaseSchedule, "closed", lambda *_: None)
+    monkeypatch.setattr(releases.ReleaseSchedule, "connection_closed", lambda *_: None)
     assert played() == [Rule.HELD_STATE]
 
 
 def test_one_release_right_after_a_close_is_seen(monkeypatch):
-    monkeypatch.setattr(releases, "CONFIRMED_PART", 0.0)
-    monkeypatch.setattr(releases, "FIRST_PART", 0.0)
+    monkeypatch.setattr(releases, "CONFIRMED_SPACING_PART", 0.0)
+    monkeypatch.setattr(releases, "FIRST_RELEASE_PART", 0.0)
     assert played() == [Rule.HELD_STATE]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -207,7 +207,7 @@
     """Decisions with a planted defect: what may have run is sent again, also what must not run twice."""
     text = Path(control.__file__).read_text()
     sound = """return (
-            self._give_up(request)
+            self._reject_or_fail(request)
             if request.idempotency is Idempotency.NON_IDEMPOTENT
             else self._route(request)
         )"""
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,5 +1,6 @@
-"""Held states while calls and releases meet silence: a node in one loop with engines that hold, hang or talk
-nonsense. docs/crossings.md lists the paths; test_fault_reproductions.py has them with real processes."""
+"""Leases on held states while calls and releases get no answer: a node in one event loop with engines that
+hang or send garbage. docs/crossings.md lists the paths; test_fault_reproductions.py has them with real
+processes."""
 
 import asyncio
 import copy
@@ -11,27 +12,27 @@
 
 from lifthead.guard import Rule
 
-LEASE = 0.3  # seconds, in the settings
-SLACK = 0.3
+LEASE_S = 0.3  # seconds, in the settings
+SLACK_S = 0.3
 GONE = b"HTTP/1.1 410 gone\r\nx-never-ran: 1\r\ncontent-length: 0\r\n\r\n"
-NO_MARK = b"HTTP/1.1 410 gone\r\ncontent-length: 0\r\n\r\n"
+GONE_UNMARKED = b"HTTP/1.1 410 gone\r\ncontent-length: 0\r\n\r\n"
 
 
-def classes(**changes):
+def settings_with(**changes):
     settings = copy.deepcopy(SETTINGS)
     settings["Grades"][0] |= changes
     return settings
 
 
 class Releases(Engine):
-    """Answers releases in a way of its own; remembers when they came."""
+    """An engine with its own answer to releases, which records when they came."""
 
     def __init__(self, *scripts, answer=b"HTTP/1.1 204 No Content\r\n\r\n"):
         super().__init__(*scripts)
         self.answer, self.released_at = answer, []
 
     async def _one(self, reader, writer):
-        came = len(self.came)
+        received = len(self.came)
         if await self._is_release(reader):
             self.released_at.append(asyncio.get_running_loop().time())
             await reader.readuntil(b"\r\n\r\n")
@@ -41,10 +42,10 @@
                 return False
             writer.write(self.answer)
             return True
-        goes_on = await super()._one(reader, writer)
+        keep_open = await super()._one(reader, writer)
         self.read_at = asyncio.get_running_loop().time()
-        assert len(self.came) > came
-        return goes_on
+        assert len(self.came) > received
+        return keep_open
 
     async def _is_release(self, reader):
         while len(reader._buffer) < 6 and not reader.at_eof():
@@ -52,14 +53,14 @@
         return bytes(reader._buffer[:6]) == b"DELETE"
 
 
-def violations(node):
+def violation_count(node):
     return sum(node.host.violations.counts.values())
 
 
 @pytest.mark.parametrize("group", ["ask", "pay"])
-def test_a_state_is_released_in_time_while_a_call_brings_nothing(group):
-    """The module's timer rings 4 ms before the time is over. A loop that is later than that may find the
-    attempt out of time first, and then rejects what may be repeated: 503."""
+def test_a_state_is_released_in_time_while_a_call_gets_no_response(group):
+    """The module's timer fires 4 ms before the budget ends. A loop that is later than that may see the
+    attempt time out first, and then rejects a request that may be repeated: 503."""
 
     async def play(node):
         loop = asyncio.get_running_loop()
@@ -72,23 +73,23 @@
             in_time = loop.time() < sent_at + 1.0
         await node.until(lambda: not node.host.pending_requests)
         assert loop.time() - rd.read_at < 1.5
-        return took, status, in_time, violations(node)
+        return took, status, in_time, violation_count(node)
 
     rd, wr = Releases([HAS_READ]), Engine([HANG])
-    took, status, in_time, broken = played(play, rd=rd, wr=wr)
-    assert LEASE * 0.5 < took < LEASE + SLACK
+    took, status, in_time, violations = played(play, rd=rd, wr=wr)
+    assert LEASE_S * 0.5 < took < LEASE_S + SLACK_S
     assert status == 504 or (status == 503 and group == "ask" and not in_time)
-    assert (broken, len(wr.of("POST"))) == (0, 1)  # nothing runs twice
+    assert (violations, len(wr.of("POST"))) == (0, 1)  # nothing runs twice
 
 
-def test_a_silent_call_is_given_up_for_another_engine_before_the_lease_ends():
+def test_a_call_without_a_response_moves_to_another_engine_before_the_lease_ends():
     async def play(node):
         async with Client(node.address) as client:
             await client.send(chat(5000))
-            return (await client.answer(1.0))[0], violations(node)
+            return (await client.answer(1.0))[0], violation_count(node)
 
     rd, one, two = Releases([HAS_READ]), Engine([HANG]), Engine([HANG])
-    # whichever is drawn first hangs; the other has a stream
+    # the one that is drawn first hangs, the other one streams
     scripts = [[HANG], [STREAM]]
     one.scripts, two.scripts = scripts, scripts
     assert played(play, rd=rd, wr1=one, wr2=two) == (200, 0)
@@ -104,7 +105,7 @@
         b"HTTP/1.1 500 no\r\ncontent-length: 0\r\n\r\n",
     ],
 )
-def test_a_release_that_its_holder_does_not_take_goes_on_to_others_in_time(answer, caplog):
+def test_a_release_that_its_holder_does_not_answer_goes_to_others_in_time(answer, caplog):
     async def play(node):
         async with Client(node.address) as client:
             await client.send(chat(5000, group="pay", waits="800"))
@@ -112,16 +113,16 @@
             took = one.released_at[0] - rd.read_at
             status = (await client.answer())[0]
         await asyncio.sleep(0.1)
-        return took, status, violations(node)
+        return took, status, violation_count(node)
 
     rd, one = Releases([HAS_READ], answer=answer), Releases([HANG])
-    took, status, broken = played(play, rd=rd, wr=one)
-    assert took < LEASE + SLACK and (status, broken) == (504, 0)
+    took, status, violations = played(play, rd=rd, wr=one)
+    assert took < LEASE_S + SLACK_S and (status, violations) == (504, 0)
     said = [record for record in caplog.records if "a release was answered" in record.getMessage()]
     assert len(said) <= 1
 
 
-def test_a_second_answer_behind_that_to_a_release_reaches_no_request():
+def test_a_second_answer_after_that_to_a_release_reaches_no_request():
     twice = b"HTTP/1.1 204 No Content\r\n\r\n" + STREAM
 
     async def play(node):
@@ -132,26 +133,26 @@
         return await ask(node.address, chat(5000, trace="a2", group="pay", waits="500"))
 
     rd, wr = Releases([HAS_READ], answer=twice), Engine([HANG])
-    assert played(play, rd=rd, wr=wr)[0] == 504  # not the stream that stood behind the release's answer
+    assert played(play, rd=rd, wr=wr)[0] == 504  # not the stream behind the release's answer
 
 
-@pytest.mark.parametrize("answer", [GONE, NO_MARK])
-def test_a_state_that_is_gone_gives_a_final_answer_and_holds_nothing(answer):
+@pytest.mark.parametrize("answer", [GONE, GONE_UNMARKED])
+def test_a_state_that_is_gone_leads_to_a_final_answer_and_no_held_state(answer):
     async def play(node):
         status = (await ask(node.address, chat(5000)))[0]
         await node.until(lambda: not node.host.pending_requests)
-        return status, violations(node)
+        return status, violation_count(node)
 
     rd, wr = Releases([HAS_READ]), Engine([answer], [STREAM])
-    status, broken = played(play, rd=rd, wr=wr)
-    assert broken == 0 and status in (200, 503)
-    # 410 does not prove that nothing is held: its holder may be cut off from that engine alone.
-    assert answer is NO_MARK or len(rd.released_at) == 1
+    status, violations = played(play, rd=rd, wr=wr)
+    assert violations == 0 and status in (200, 503)
+    # A 410 does not prove that no state is held: its holder may be cut off from this engine only.
+    assert answer is GONE_UNMARKED or len(rd.released_at) == 1
 
 
-def test_a_kept_connection_that_fell_silent_is_asked_before_a_prefill_goes_on_it():
+def test_an_idle_connection_that_fell_silent_is_checked_before_a_prefill():
     class Silent(Engine):
-        """Its first connection brings nothing after its first answer."""
+        """Its first connection is silent after the first answer."""
 
         async def connection(self, reader, writer):
             first = not self.connections
@@ -176,25 +177,26 @@
     assert len(rd.of("POST")) == 2
 
 
-def test_a_keyed_call_that_is_given_up_is_repeated_in_its_own_group_alone():
+def test_an_abandoned_call_with_a_key_is_repeated_in_its_scope_only():
     async def play(node):
         async with Client(node.address) as client:
             await client.send(chat(5000, waits="1500"))
             status = (await client.answer())[0]
         return status, node.host.violations.counts[Rule.SINGLE_EFFECT]
 
-    keyed = classes(Effect="keyed", Group="zone", KeyTtl=60_000)  # the window is over before a call is
+    # The window ends before a call does.
+    with_key = settings_with(Effect="keyed", Group="zone", KeyTtl=60_000)
     rd, one, two = Releases([HAS_READ]), Engine([HANG]), Engine([HANG])
-    status, broken = played(play, rd=rd, wr1=one, wr2=two, settings=keyed)
-    assert len(one.of("POST") + two.of("POST")) == 1 and broken == 0 and status != 200
+    status, violations = played(play, rd=rd, wr1=one, wr2=two, settings=with_key)
+    assert len(one.of("POST") + two.of("POST")) == 1 and violations == 0 and status != 200
 
 
 @pytest.mark.parametrize("prompt", [100, 5000])
-def test_a_fault_of_ours_in_one_request_ends_neither_the_router_nor_that_request(prompt):
+def test_an_exception_in_one_request_ends_neither_the_router_nor_that_request(prompt):
     async def play(node):
         sound = node.host.router.on_attempt_ended
 
-        def faulty(*told):
+        def faulty(*args):
             node.host.router.on_attempt_ended = sound
             raise ZeroDivisionError("planted")
 
@@ -202,17 +204,18 @@
         first = (await ask(node.address, chat(prompt, trace="a1")))[0]
         second = (await ask(node.address, chat(prompt, trace="a2")))[0]
         await node.until(lambda: not node.host.pending_requests and not node.host.router.requests)
-        return first, second, violations(node)
+        return first, second, violation_count(node)
 
     rd, wr = Releases([HAS_READ]), Engine([STREAM])
-    first, second, broken = played(play, rd=rd, wr=wr)
-    # the short one was answered whole before the fault; the long one's prefill had ended, and its state goes
-    assert (first, second, broken) == (200 if prompt == 100 else 504, 200, 0)
+    first, second, violations = played(play, rd=rd, wr=wr)
+    # The short one was answered before the fault; the long one's prefill had ended, and its state is
+    # released.
+    assert (first, second, violations) == (200 if prompt == 100 else 504, 200, 0)
     assert len(rd.released_at) == (prompt == 5000)
 
 
-def test_held_states_are_judged_only_once_what_came_during_a_stall_is_read(monkeypatch):
-    """A sweep right after a stall took releases for unanswered whose answers had come."""
+def test_held_states_are_judged_after_what_arrived_during_a_stall_is_read(monkeypatch):
+    """A sweep right after a stall counted releases as unanswered whose answers had arrived."""
 
     async def play(node):
         order = []
@@ -224,7 +227,7 @@
             far.send(b"x")
             time.sleep(0.1)  # the stall
             await reader.read(1)
-            for _ in range(20):  # what is read passes several tasks
+            for _ in range(20):  # the received data passes several tasks
                 await asyncio.sleep(0)
             order.append("read")
             writer.close()
@@ -239,14 +242,14 @@
     assert played(play, rd=Releases([HAS_READ]), wr=Engine([HANG])) == ["read", "judged"]
 
 
-def test_a_fault_of_ours_in_a_release_or_a_timer_does_not_end_the_router(monkeypatch):
+def test_an_exception_in_a_release_or_a_timer_does_not_end_the_router(monkeypatch):
     def faulty(*_):
         raise ZeroDivisionError("planted")
 
     async def play(node):
         monkeypatch.setattr(node.host, "_last_heard", faulty)
         node.host.set_timer(0, -5)
-        monkeypatch.setattr(node.host.router, "_look_round", faulty)
+        monkeypatch.setattr(node.host.router, "_check_health", faulty)
         answers = [(await ask(node.address, chat(5000, trace="a1", group="pay", waits="600")))[0]]
         await asyncio.sleep(0.3)
         answers.append((await ask(node.address, chat(100, trace="a2")))[0])
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,6 +1,6 @@
-"""Lists of 1,024 engines: what a req, a whole list and an engine cost, against 60.
+"""What a request, a whole list and an engine cost with 1,024 engines, compared with 60.
 
-Work is counted, not timed: lines of Python that run, so that the verdict is the same on every machine.
+Work is counted in executed lines of Python instead of time, so that the verdict is the same on every machine.
 """
 
 import asyncio
@@ -9,7 +9,7 @@
 import tracemalloc
 
 import pytest
-from helpers import Bench, entry, report
+from helpers import RecordingHost, entry, report
 from onenode import config, news, target
 
 from lifthead.interface import AttemptOutcome
@@ -21,7 +21,7 @@
 
 
 def lines_run(what):
-    """How many lines of Python run in it."""
+    """The number of executed lines of Python."""
     count = 0
 
     def trace(frame, event, arg):
@@ -39,27 +39,29 @@
 
 
 def fleet(size):
-    """A third are readers; cells of eight."""
+    """A third are prefill engines; cells of eight."""
     names = [f"{'R' if n % 3 == 0 else 'W'}{n}" for n in range(size)]
     return [entry(name, "ab"[n % 2], n // 8) for n, name in enumerate(names)]
 
 
-def serve(bench, prompt, key):
-    req = bench.req(prompt, beginning=f"p{key}", session=f"s{key}")
-    if bench.last(req).startswith("R"):
-        bench.end(req, AttemptOutcome.PREFILLED, report=report(queued=0, prefill_backlog_thousands=1.0))
-    bench.begin(req)
-    bench.end(req, AttemptOutcome.COMPLETED)
+def serve(host, prompt, key):
+    request = host.request(prompt, prefix=f"p{key}", session=f"s{key}")
+    if host.last_engine(request).startswith("R"):
+        host.end_attempt(
+            request, AttemptOutcome.PREFILLED, report=report(queued=0, prefill_backlog_thousands=1.0)
+        )
+    host.first_token(request)
+    host.end_attempt(request, AttemptOutcome.COMPLETED)
 
 
 @pytest.mark.parametrize("prompt", [200, 9000])
 @pytest.mark.parametrize("on_probe", [False, True])
-def test_a_reqs_work_does_not_grow_with_the_fleet(prompt, on_probe):
+def test_the_work_for_a_request_does_not_grow_with_the_fleet(prompt, on_probe):
     def work(size):
-        bench = Bench(*fleet(size), may_probe=on_probe, reports_on_probe=on_probe)
+        host = RecordingHost(*fleet(size), may_probe=on_probe, reports_on_probe=on_probe)
         for key in range(40):
-            serve(bench, prompt, key % 10)
-        return lines_run(lambda: [serve(bench, prompt, key % 10) for key in range(40)])
+            serve(host, prompt, key % 10)
+        return lines_run(lambda: [serve(host, prompt, key % 10) for key in range(40)])
 
     assert work(LARGE) < 1.5 * work(SMALL)
 
@@ -76,12 +78,12 @@
     return asyncio.run(run())
 
 
-def test_a_whole_lists_work_grows_with_its_length_alone():
+def test_the_work_for_a_whole_list_is_proportional_to_its_length():
     def work(size):
         def play(host, text):
             def take():
                 host.on_news(news_of(text))
-                host.router._settle()
+                host.router._apply_list()
 
             return lines_run(take), lines_run(take)
 
@@ -91,13 +93,13 @@
         assert large < 1.3 * small * LARGE / SMALL
 
 
-def test_what_an_engine_costs_in_memory_is_the_same_at_any_size():
+def test_the_memory_for_an_engine_does_not_grow_with_the_fleet():
     def bytes_each(size):
         def play(host, text):
             tracemalloc.start()
             try:
                 host.on_news(news_of(text))
-                host.router._settle()
+                host.router._apply_list()
                 return tracemalloc.get_traced_memory()[0] / size
             finally:
                 tracemalloc.stop()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from runs import judged
+from runs import run_until_judged
 
 from lifthead.standins.faults import shim
 from lifthead.standins.faults.reproductions import REPRODUCTIONS, REQUESTS, play
@@ -35,7 +35,9 @@
             told = {"PYTHONPATH": SHIM, **environment}
             healthy = REPRODUCTIONS["healthy"]
             async with free, asyncio.timeout(WITHIN):
-                return await judged(lambda run: play(healthy, path / str(run), source, environment=told))
+                return await run_until_judged(
+                    lambda run: play(healthy, path / str(run), source, environment=told)
+                )
 
         return await asyncio.gather(*(one(*each) for each in enumerate(environments)))
 
