--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -190,10 +190,8 @@
     host.router.on_timer(timer[2])
     assert host.final_answers(request_id) == ["fail"] and ("release_state", request_id) in host.actions
     attempts = len(host.sent_to[request_id])
-    for outcome in (
-        AttemptOutcome.CANCELLED,
-        AttemptOutcome.CANCELLED,
-    ):  # a second end is unexpected and harmless
+    # A second end is unexpected and harmless.
+    for outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.CANCELLED):
         host.end_attempt(request_id, outcome)
     host.router.on_timer(timer[2])
     host.router.on_client_left(request_id)
@@ -778,17 +776,17 @@
     assert host.final_answers(later) == [] and host.last_engine(later) == "R1"
 
 
-def answer_probes(host, request_id, **waits):
+def answer_probes(host, request_id, **backlogs):
     """The probed prefill engines report their backlog in thousands of tokens; None: the probe is lost."""
     for name in sorted(host.router.requests[request_id].awaited_probes):
-        reported = waits.get(name)
+        backlog = backlogs.get(name)
         host.router.on_load_report(
-            name, None if reported is None else report(queued=0.0, prefill_backlog_thousands=reported)
+            name, None if backlog is None else report(queued=0.0, prefill_backlog_thousands=backlog)
         )
 
 
 @pytest.mark.parametrize(
-    ("waits", "goes"),
+    ("backlogs", "chosen"),
     [
         ({"R1": 0.0, "R2": 0.0, "R3": 0.0, "R4": 0.0}, "first"),
         ({"R1": 30.0, "R2": 30.0, "R3": 30.0, "R4": 30.0}, "first"),
@@ -797,25 +795,23 @@
         ({"first": 30.0, "second": 30.0, "beyond": 0.0}, "beyond"),
         ({"first": 5.0, "second": 5.0, "beyond": 0.0}, "first"),  # another zone costs more
         ({"first": None, "second": 0.0, "beyond": 0.0}, "second"),
-        (
-            {"first": None, "second": None, "beyond": None},
-            "not probed",
-        ),  # engines that don't answer are avoided
+        # Engines that don't answer are avoided.
+        ({"first": None, "second": None, "beyond": None}, "not probed"),
     ],
 )
-def test_prefill_engines_are_probed_before_one_is_chosen(waits, goes):
+def test_prefill_engines_are_probed_before_one_is_chosen(backlogs, chosen):
     """One of hundreds of routers sends an engine next to nothing and knew the load of one engine in seven:
     prefills waited for seconds at the key's engine, beside idle ones."""
     host = RecordingHost(*TWO_ZONES, **REPORTS_ON_PROBE)
     host.probes_time_out = False
     request = host.request(6000, session="s", prefix="")
-    order = host.router._ranking("s", "a") + host.router._ranking("s", "b")
-    names = dict(zip(("first", "second", "beyond", "not probed"), (e.name for e in order), strict=True))
+    ranking = host.router._ranking("s", "a") + host.router._ranking("s", "b")
+    names = dict(zip(("first", "second", "beyond", "not probed"), (e.name for e in ranking), strict=True))
     assert not host.sent_to.get(request) and host.router.requests[request].awaited_probes == {
-        e.name for e in order[:3]
+        e.name for e in ranking[:3]
     }
-    answer_probes(host, request, **{names.get(name, name): reported for name, reported in waits.items()})
-    assert host.sent_to[request] == [names[goes]]
+    answer_probes(host, request, **{names.get(name, name): backlog for name, backlog in backlogs.items()})
+    assert host.sent_to[request] == [names[chosen]]
 
 
 @pytest.mark.parametrize(("prompt", "probes"), [(7000, False), (16_000, True)])
@@ -850,9 +846,9 @@
     host = RecordingHost(*CELL, **REPORTS_ON_PROBE)
     host.probes_time_out = False
     request = host.request(6000, session="s", prefix="")
-    waits = sorted(host.router.requests[request].awaited_probes)
+    awaited = sorted(host.router.requests[request].awaited_probes)
     host.router.on_client_left(request)
-    for name in waits:
+    for name in awaited:
         host.router.on_load_report(name, report(queued=0.0, prefill_backlog_thousands=0.0))
     host.router.on_timer(request << 2 | control.PROBE_TIMER)
     assert not host.sent_to.get(request) and not host.router.requests and not host.router.awaiting_probes
