--- a/lifthead/guard.py
+++ b/lifthead/guard.py
@@ -231,12 +231,14 @@
             return
         if not answered:
             may_run_for = max(attempt.announced_deadline - attempt.sent_at, 0) if attempt.is_prefill else 0
-            self.releases.closed(attempt.serial, now, attempt.announced_deadline, attempt.engine, may_run_for)
+            self.releases.connection_closed(
+                attempt.serial, now, attempt.announced_deadline, attempt.engine, may_run_for
+            )
             self._undetected_closes[attempt.serial] = attempt
             self._add_audit_entry(now, Fact.CLOSED, attempt)
         elif attempt.is_prefill and proven_not_run:
             self._holders.pop(attempt.serial, None)
-            self.releases.left_nothing(attempt.serial)
+            self.releases.did_not_run(attempt.serial)
             self._add_audit_entry(now, Fact.NOT_RUN, attempt)
         else:
             self.releases.answered(attempt.serial, now)
@@ -245,7 +247,7 @@
 
     def on_peer_closed(self, attempt: Attempt, now: int) -> None:
         """The engine has closed its side of the connection of an attempt that this end closed."""
-        self.releases.end_shown(attempt.serial, now)
+        self.releases.end_seen(attempt.serial, now)
         if self._undetected_closes.pop(attempt.serial, None):
             self._add_audit_entry(now, Fact.PEER_CLOSED, attempt)
 
@@ -283,7 +285,7 @@
         prefilled the prompt itself proves nothing about a held state."""
         self.answer_started = True
         if attempt.work is not Work.FETCH:
-            self.releases.begun(attempt.serial)
+            self.releases.first_token(attempt.serial)
             self._add_audit_entry(now, Fact.ANSWERED, attempt)
             return
         if self.held_state and self.is_leased:
@@ -294,17 +296,17 @@
     def on_state_gone(self) -> None:
         """The decode engine reports that there is no state to fetch. The holder may only be cut off or
         stalled and still hold it."""
-        self.releases.gone()
+        self.releases.state_gone()
         if self.held_state and self.is_leased:
             self.held_state.status = HeldStateStatus.POSSIBLE
 
     def request_release(self, now: int) -> None:
         """The request no longer needs a held state, or the lease of its state has expired."""
-        self.releases.wanted(now, self.attempt is not None and self.attempt.cancelled)
+        self.releases.release_wanted(now, self.attempt is not None and self.attempt.cancelled)
 
     def on_release_sent(self, now: int) -> None:
         """A release is about to be sent. It proves nothing until it is answered."""
-        self.releases.sent(now)
+        self.releases.release_sent(now)
         if self.held_state and self.held_state.status in (HeldStateStatus.POSSIBLE, HeldStateStatus.LEASED):
             self.held_state.status = HeldStateStatus.RELEASING
 
--- a/lifthead/release_tasks.py
+++ b/lifthead/release_tasks.py
@@ -57,7 +57,7 @@
                 )
         if changed := self._schedule_changed.get(guard):
             changed.set()
-        elif guard.releases.next_at() is not None:
+        elif guard.releases.next_release_at() is not None:
             self._schedule_changed[guard] = asyncio.Event()
             self._spawn(self._run_schedule(guard), f"the releases of {guard.request}")
 
@@ -94,7 +94,7 @@
     async def _run_schedule(self, guard: RequestGuard) -> None:
         changed = self._schedule_changed[guard]
         try:
-            while (due_at := guard.releases.next_at()) is not None:
+            while (due_at := guard.releases.next_release_at()) is not None:
                 changed.clear()
                 if (wait_us := due_at - self._now()) > 0:
                     with contextlib.suppress(TimeoutError):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -573,7 +573,7 @@
     async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(5000))
-            await node.until(lambda: node.host.router.asking)
+            await node.until(lambda: node.host.router.awaiting_probes)
             if leave == "reset":
                 reset(client.writer)
             elif leave == "shut":
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -341,7 +341,7 @@
         async with Loopback(tmp_path, engines=("rd", "wr")) as loopback:
             # The engine stays cold for the whole test: once warm, it would serve all that it gets.
             rules = msgspec.structs.replace(loopback.fleet.rules, warm_within=60_000_000)
-            loopback.daemon.host.router.slow_start.warm_within = rules.warm_within
+            loopback.daemon.host.router.slow_start.duration = rules.warm_within
             loopback.engines["wr"].warmth = Warmth(rules, time.monotonic_ns() // 1000, cold=True)
             started = time.time_ns() // 1000
             entry = ListedEngine("wr", loopback.engine_addresses["wr"], "a", 0, "writer", started_at=started)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -59,7 +59,7 @@
     """Sends and answers each release when it is due. Returns when each was sent and whether it proved the
     end."""
     sent = []
-    while (at := guard.releases.next_at()) is not None and at < until:
+    while (at := guard.releases.next_release_at()) is not None and at < until:
         guard.on_release_sent(at)
         sent.append((at, guard.on_release_answered(at)))
     return sent
@@ -149,10 +149,10 @@
     attempt = start_attempt(guard, Work.PREFILL, engine="p")
     guard.on_sending(attempt, 1)
     guard.request_release(1)
-    assert guard.releases.next_at() is None  # the attempt is in flight
+    assert guard.releases.next_release_at() is None  # the attempt is in flight
     guard.on_ended(attempt, 2, proven_not_run=False, answered=False)
     assert not guard.may_have_run and guard.held_state.status is HeldStateStatus.POSSIBLE
-    assert guard.holders == {0: "p"} and guard.releases.next_at() < HELD_STATE_LIMIT
+    assert guard.holders == {0: "p"} and guard.releases.next_release_at() < HELD_STATE_LIMIT
 
 
 def test_a_prefill_that_is_proven_not_run_leaves_nothing(reported):
@@ -160,7 +160,9 @@
     attempt = start_attempt(guard, Work.PREFILL, engine="p")
     guard.on_sending(attempt, 1)
     guard.on_ended(attempt, 2, proven_not_run=True, answered=True)
-    assert guard.holders == {} and guard.releases.next_at() is None and not guard.check_overdue(DEADLINE)
+    assert (
+        guard.holders == {} and guard.releases.next_release_at() is None and not guard.check_overdue(DEADLINE)
+    )
 
 
 @pytest.mark.parametrize("late", [0, 1])
@@ -185,7 +187,7 @@
         HeldStateStatus.FETCHED,
         HeldStateStatus.RELEASED,
     )
-    assert fetched.releases.next_at() is None and released.releases.next_at() is None
+    assert fetched.releases.next_release_at() is None and released.releases.next_release_at() is None
 
 
 def test_a_release_that_is_answered_late_is_counted_once(reported):
@@ -216,7 +218,7 @@
     guard.on_release_sent(200_000)
     assert not guard.on_release_answered(200_000)
     guard.on_ended(decode, 640_000, proven_not_run=False, answered=False)
-    second = guard.releases.next_at()
+    second = guard.releases.next_release_at()
     assert 640_000 < second < 640_000 + HELD_STATE_LIMIT and guard.holder == "p"
     assert guard.check_overdue(640_000 + HELD_STATE_LIMIT + HELD_STATE_SLACK + 1)
 
@@ -228,13 +230,13 @@
     decode = send_decode(guard, 1)
     decode.cancelled = True
     guard.request_release(2)
-    assert guard.releases.next_at() == 285_000  # the end of the attempt schedules an earlier one
+    assert guard.releases.next_release_at() == 285_000  # the end of the attempt schedules an earlier one
     guard.on_ended(decode, 3, proven_not_run=False, answered=False)
     guard.on_peer_closed(decode, 5_000)
-    assert guard.releases.next_at() == 5_000
+    assert guard.releases.next_release_at() == 5_000
     guard.on_release_sent(after)
     assert guard.on_release_answered(after) is proves
-    assert (guard.releases.next_at() is None) is proves
+    assert (guard.releases.next_release_at() is None) is proves
 
 
 def test_no_release_is_due_beside_an_attempt_once_closed_attempts_are_over(reported):
@@ -247,7 +249,7 @@
     sent = send_due_releases(guard, until=4_000_000)
     assert [proved for _, proved in sent] == [False]
     guard.on_ended(second, 900_000, proven_not_run=False, answered=True)
-    assert guard.releases.next_at() == 900_000
+    assert guard.releases.next_release_at() == 900_000
 
 
 @pytest.mark.parametrize("close_seen", [False, True])
@@ -261,7 +263,7 @@
     guard.request_release(285_000)
     if close_seen:
         guard.on_peer_closed(first, 285_001)
-    assert guard.releases.next_at() == 285_000
+    assert guard.releases.next_release_at() == 285_000
 
 
 def test_a_further_attempt_does_not_delay_the_release_of_an_expired_lease(reported):
@@ -275,14 +277,14 @@
     second = start_attempt(guard, Work.PREFILL, 2, "p")
     guard.on_sending(second, 284_000)
     guard.on_peer_closed(decode, 286_000)
-    assert guard.releases.next_at() == 285_000
+    assert guard.releases.next_release_at() == 285_000
     guard.on_release_sent(285_000)
     guard.on_release_answered(285_000)
     guard.on_leased(second, 512_000)
     guard.on_ended(second, 512_000, proven_not_run=False, answered=True)
     send_decode(guard, 513_000)
     # The first release may have been too early.
-    assert guard.releases.next_at() == 279_000 + int(1.35 * HELD_STATE_LIMIT)
+    assert guard.releases.next_release_at() == 279_000 + int(1.35 * HELD_STATE_LIMIT)
     assert not guard.check_overdue(813_000)
 
 
@@ -324,13 +326,13 @@
 @pytest.mark.parametrize("work", Work)
 def test_releases_stop_while_an_engine_is_paused_and_resume_with_its_answer(work, reported):
     guard = guard_of_paused_engine(reported, work)
-    assert guard.releases.next_at() is None and guard.holder
+    assert guard.releases.next_release_at() is None and guard.holder
     assert guard.releases.silent_engines(9_000_000) == {"paused": 1_000_000}
     guard.on_engine_alive("other", 9_000_000, 9_000_000)
     guard.on_engine_alive("paused", 999_999, 9_000_000)  # it may have been paused since
-    assert guard.releases.next_at() is None
+    assert guard.releases.next_release_at() is None
     guard.on_engine_alive("paused", 7_500_000, 9_000_000)  # it may have resumed only now
-    assert guard.releases.silent_engines(9_000_000) == {} and guard.releases.next_at() < 9_000_000
+    assert guard.releases.silent_engines(9_000_000) == {} and guard.releases.next_release_at() < 9_000_000
     guard.on_release_sent(9_000_001)
     # The engine may be about to abandon the attempt, or to complete the prefill.
     assert not guard.on_release_answered(9_000_001)
@@ -353,7 +355,7 @@
     second = start_attempt(guard, Work.PREFILL, 1, "p1")
     guard.on_sending(second, 2)
     guard.on_ended(second, 3, proven_not_run=True, answered=True)
-    assert guard.holder and guard.releases.next_at() is not None
+    assert guard.holder and guard.releases.next_release_at() is not None
 
 
 def test_a_state_is_released_after_a_fetch_that_was_never_sent(reported):
@@ -363,7 +365,7 @@
     decode.cancelled = True
     guard.request_release(2)
     guard.on_ended(decode, 3, proven_not_run=False, answered=False)
-    assert guard.releases.next_at() == 3
+    assert guard.releases.next_release_at() == 3
 
 
 def test_a_possible_state_is_not_forgotten_after_a_prefill_at_another_engine(reported):
@@ -378,7 +380,7 @@
     assert guard.holders == {0: "p0", 1: "p1"}
     guard.on_first_token(send_decode(guard, 5), 6)
     # A state that the first attempt leaves late is still released.
-    assert guard.releases.next_at() < HELD_STATE_LIMIT
+    assert guard.releases.next_release_at() < HELD_STATE_LIMIT
 
 
 @pytest.mark.parametrize("outcome", [(True, True), (True, False)])
@@ -398,7 +400,7 @@
     decode = send_decode(guard, 1)
     guard.on_state_gone()
     guard.on_ended(decode, 2, proven_not_run=True, answered=True)
-    assert guard.releases.next_at() == 2
+    assert guard.releases.next_release_at() == 2
 
 
 def test_violations_are_printed_by_rule():
@@ -414,4 +416,4 @@
     decode = send_decode(guard, 900_000, Work.PREFILL_AND_DECODE)
     guard.on_first_token(decode, 950_000)
     assert reported == [] and guard.held_state.status is HeldStateStatus.RELEASING
-    assert guard.releases.next_at() is not None
+    assert guard.releases.next_release_at() is not None
--- a/tests/test_held_audit.py
+++ b/tests/test_held_audit.py
@@ -89,10 +89,10 @@
                 guard.on_peer_closed(decode, 650_000)
         guard.on_release_sent(at)
         guard.on_release_answered(at)
-        at = guard.releases.next_at() or (640_000 if guard.attempt else None)
+        at = guard.releases.next_release_at() or (640_000 if guard.attempt else None)
         if at is None and resumes_at:
             guard.on_engine_alive("d", resumes_at - 1_500_000, resumes_at)
-            at, resumes_at = guard.releases.next_at() and resumes_at, 0
+            at, resumes_at = guard.releases.next_release_at() and resumes_at, 0
     guard.check_overdue(until)
     return reported
 
@@ -113,11 +113,11 @@
 
 def test_an_answer_beside_an_attempt_taken_as_proof_is_detected(monkeypatch):
     monkeypatch.setattr(releases.ReleaseSchedule, "_proves", lambda *_: True)
-    monkeypatch.setattr(releases.ReleaseSchedule, "closed", lambda *_: None)
+    monkeypatch.setattr(releases.ReleaseSchedule, "connection_closed", lambda *_: None)
     assert violations_of() == [Rule.HELD_STATE]
 
 
 def test_a_single_release_right_after_a_close_is_detected(monkeypatch):
-    monkeypatch.setattr(releases, "CONFIRMED_PART", 0.0)
-    monkeypatch.setattr(releases, "FIRST_PART", 0.0)
+    monkeypatch.setattr(releases, "CONFIRMED_SPACING_PART", 0.0)
+    monkeypatch.setattr(releases, "FIRST_RELEASE_PART", 0.0)
     assert violations_of() == [Rule.HELD_STATE]
