--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -397,14 +397,14 @@
             elif answer and (endpoint := self.endpoints.get(engine)):
                 _log_once(endpoint, engine, f"a release was answered with {answer[0].status}")
 
-        async with asyncio.TaskGroup() as release_tasks:
+        async with asyncio.TaskGroup() as task_group:
             tasks = []
             for round_number, pause in enumerate(RELEASE_PAUSES):
                 targets = (
                     [holder, *self._recently_heard(holder, round_number - 1)] if round_number else [holder]
                 )
                 tasks += [
-                    release_tasks.create_task(send_release(engine, round_number > 0)) for engine in targets
+                    task_group.create_task(send_release(engine, round_number > 0)) for engine in targets
                 ]
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(pause):
