--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -116,14 +116,20 @@
 
         `waited` is the part of its budget, in microseconds, that has passed already.
         """
-        req_id, self._next = self._next, self._next + 1
-        name = f"{self.name}-{self._start_id}-{req_id}"
+        request_id, self._next = self._next, self._next + 1
+        name = f"{self.name}-{self._start_id}-{request_id}"
         guard = self._guard(name, request.request_class, max(request.budget - waited, 0))
         pending = PendingChatRequest(
-            id=req_id, serial=req_id, name=name, request=request, reply=reply, guard=guard, accepted_at=now()
+            id=request_id,
+            serial=request_id,
+            name=name,
+            request=request,
+            reply=reply,
+            guard=guard,
+            accepted_at=now(),
         )
         pending.engine_body = request.body
-        self.pending_requests[req_id] = pending
+        self.pending_requests[request_id] = pending
         self.empty.clear()
         self.metrics.count_accepted(request.request_class)
         reply.on_client_gone = lambda: self._left(pending)
@@ -166,31 +172,31 @@
 
     # Calls by the module.
 
-    def forward(self, req: int, engine: str, abandon_at: int, send_by: int) -> None:
-        self.pending_requests[req].attempts_sent += 1
-        super().forward(req, engine, abandon_at, send_by)
+    def forward(self, request_id: int, engine: str, abandon_at: int, send_by: int) -> None:
+        self.pending_requests[request_id].attempts_sent += 1
+        super().forward(request_id, engine, abandon_at, send_by)
 
-    def free_state(self, req: int) -> None:
-        super().free_state(req)
-        if pending := self.pending_requests.get(req):
+    def free_state(self, request_id: int) -> None:
+        super().free_state(request_id)
+        if pending := self.pending_requests.get(request_id):
             pending.state_handle = None
 
-    def push_back(self, req: int, hold_off: int) -> None:
-        pending = self.pending_requests[req]
+    def push_back(self, request_id: int, retry_after: int) -> None:
+        pending = self.pending_requests[request_id]
         if pending.reply.begun:
             return self._end_broken_stream(pending, "no place was found for the rest of it")
         if self._answered(pending, "pushed back"):
             headers = {
                 **self._reply_headers(pending),
-                "retry-after": str(-(-hold_off // 1_000_000) or 1),
-                "retry-after-ms": str(hold_off // 1000),
+                "retry-after": str(-(-retry_after // 1_000_000) or 1),
+                "retry-after-ms": str(retry_after // 1000),
             }
             pending.reply.send_whole(
                 503, chat.error(503, "overloaded", "pushed back: trying again does no harm"), headers
             )
 
-    def abort(self, req: int) -> None:
-        pending = self.pending_requests[req]
+    def abort(self, request_id: int) -> None:
+        pending = self.pending_requests[request_id]
         if pending.reply.begun:
             return self._end_broken_stream(pending, "the rest of it could not be had in time")
         if self._answered(pending, "aborted"):
@@ -492,18 +498,21 @@
     async def _ask_to_release(self, guard: RequestGuard) -> int:
         """Asks every engine that may hold a state to release it.
 
-        The answers prove only that the state was released as of the earliest time one of them was asked.
+        Returns the earliest sending time, since the answers prove a release only as of then; 0 if an engine
+        did not answer.
         """
-        releases = [self._release_at(engine, f"{guard.request}.{n}") for n, engine in guard.holders.items()]
+        releases = [
+            self._release_state(engine, f"{guard.request}.{n}") for n, engine in guard.holders.items()
+        ]
         return min(await asyncio.gather(*releases), default=0)
 
-    async def _release_at(self, engine: str, attempt: str) -> int:
-        """Returns when the release that was answered was sent; 0 if none was answered. The second attempt
-        uses a new connection, since a pooled one may be dead."""
+    async def _release_state(self, engine: str, attempt_id: str) -> int:
+        """Returns when the release that was answered was sent; 0 if none was. The second one is sent on a new
+        connection, since a pooled one may be dead."""
         link = self.endpoints[engine].link
         for fresh in (False, True):
             sent_at = now()
-            if await link.ask(codec.release_req(link.address, attempt), RELEASE_TIMEOUT, fresh):
+            if await link.ask(codec.release_req(link.address, attempt_id), RELEASE_TIMEOUT, fresh):
                 return sent_at
         self.metrics.releases_lost.inc()
         return 0
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -287,7 +287,7 @@
 
     def _drain_engines(self, question: dict[str, Any]) -> dict[str, Any]:
         """Drains engines or undoes that; without a selector only reports the progress."""
-        # The monotonic clock plus the offset of the wall clock at the start, which ignores later clock steps.
+        # Wall-clock time by the offset from the start of this process, as the host uses to convert it back.
         wall = now() + self.host.starts.wall_ahead
         previous = copy.deepcopy(self.drains.word)
         try:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""A router and stand-in engines in one event loop, on free ports of the loopback interface; clients."""
+"""A router and stand-in engines in one event loop on free local ports, and clients that talk to them."""
 
 import asyncio
 import contextlib
