--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -118,14 +118,20 @@
 
         `waited` is the part of its budget, in microseconds, that has passed already.
         """
-        req_id, self._next_id = self._next_id, self._next_id + 1
-        name = f"{self.name}-{self._start_id}-{req_id}"
+        request_id, self._next_id = self._next_id, self._next_id + 1
+        name = f"{self.name}-{self._start_id}-{request_id}"
         guard = self._new_guard(name, request.request_class, max(request.budget - waited, 0))
         pending = PendingChatRequest(
-            id=req_id, serial=req_id, name=name, request=request, reply=reply, guard=guard, accepted_at=now()
+            id=request_id,
+            serial=request_id,
+            name=name,
+            request=request,
+            reply=reply,
+            guard=guard,
+            accepted_at=now(),
         )
         pending.engine_body = request.body
-        self.pending_requests[req_id] = pending
+        self.pending_requests[request_id] = pending
         self.idle.clear()
         self.metrics.count_accepted(request.request_class)
         reply.on_client_gone = lambda: self._on_client_gone(pending)
@@ -499,18 +505,21 @@
     async def _send_releases(self, guard: RequestGuard) -> int:
         """Asks every engine that may hold a state to release it.
 
-        The answers prove only that the state was released as of the earliest time one of them was asked.
+        Returns the earliest sending time, since the answers prove a release only as of then; 0 if an engine
+        did not answer.
         """
-        releases = [self._release_at(engine, f"{guard.request}.{n}") for n, engine in guard.holders.items()]
+        releases = [
+            self._release_state(engine, f"{guard.request}.{n}") for n, engine in guard.holders.items()
+        ]
         return min(await asyncio.gather(*releases), default=0)
 
-    async def _release_at(self, engine: str, attempt: str) -> int:
-        """Returns when the release that was answered was sent; 0 if none was answered. The second attempt
-        uses a new connection, since a pooled one may be dead."""
+    async def _release_state(self, engine: str, attempt_id: str) -> int:
+        """Returns when the release that was answered was sent; 0 if none was. The second one is sent on a new
+        connection, since a pooled one may be dead."""
         link = self.endpoints[engine].link
         for fresh in (False, True):
             sent_at = now()
-            if await link.exchange(codec.release_request(link.address, attempt), RELEASE_TIMEOUT, fresh):
+            if await link.exchange(codec.release_request(link.address, attempt_id), RELEASE_TIMEOUT, fresh):
                 return sent_at
         self.metrics.releases_lost.inc()
         return 0
