--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -461,7 +461,7 @@
         if observation is Observation.OUT_OF_TIME and pending.answer_started and pending.request.streamed:
             observation, (outcome, default_note) = Observation.STALLED, OUTCOMES[Observation.STALLED]
             self._log.error(
-                "stream stalled: ended by the stalled_for limit", req=pending.name, engine=attempt.engine
+                "stream stalled: ended by the last guard", req=pending.name, engine=attempt.engine
             )
         self._on_attempt_ended(pending, attempt, observation)
         pending.attempt_history.append(f"{attempt.engine}:{observation.name.lower()}")
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -100,7 +100,7 @@
         outcome = self.registry.offer(text, "engines")
         log = self.log.info if outcome.taken else self.log.error
         log(
-            "file of engines changed",
+            "file of engines",
             taken=outcome.taken,
             why=outcome.why,
             digest=outcome.digest,
@@ -128,7 +128,7 @@
             wall = time.time_ns() // 1000
             if stored and last.due(stored, now() - started, self.host.list_received_at > 0, wall):
                 self.log.warning(
-                    "no list of engines was pushed: using the stored one", age_s=(wall - stored.at) / 1e6
+                    "no list of engines is pushed: by the last one", age_s=(wall - stored.at) / 1e6
                 )
                 self.view.tell("push", stored.engines, True, now() - (wall - stored.at))
                 self.publish_changes()
@@ -143,7 +143,7 @@
         """Merges the list of one source into the view and passes the changes to the module."""
         rejection = self.view.tell(source, engines, whole, now())
         if rejection:
-            self.log.error("list of engines rejected", source=source, why=rejection)
+            self.log.error("a list of engines is kept out", source=source, why=rejection)
         self.publish_changes()
 
     def publish_changes(self) -> None:
