--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -14,13 +14,13 @@
 import apsw
 
 from lifthead.ledger import entries, journal
-from lifthead.ledger.disk import Directory
+from lifthead.ledger.disk import DiskDirectory
 from lifthead.ledger.journal import Journal
 
 HERE = Path(".lifthead/bench")  # on the disk of the checkout: a memory file system has nothing to wait for
 
 
-class Unsynced(Directory):
+class Unsynced(DiskDirectory):
     """The same without waiting for the disk."""
 
     def sync(self, name):
@@ -28,14 +28,14 @@
 
 
 def entry(number):
-    return entries.usage(
-        req=f"router-0-19ae2c3d4f5-{number}",
+    return entries.usage_entry(
+        request_id=f"router-0-19ae2c3d4f5-{number}",
         at=1_796_000_000_000_000 + number,
         period="2026-12",
         tenant=f"tenant-{number % 50}",
         group="chat",
         ended="done",
-        begun=True,
+        first_token_sent=True,
         prompt=1800,
         kept=1200,
         sent=180,
@@ -75,16 +75,16 @@
     found = Journal(Unsynced(path), "bench")
     for at in range(0, many, 5000):
         found.append([entry(number) for number in range(at, at + 5000)])
-        found.tidy()
+        found.compact()
 
 
 def recover(path):
     """Time and memory of a start, in a process of its own."""
     code = (
         "import time, sys; from lifthead.ledger.journal import Journal;"
-        "from lifthead.ledger.disk import Directory; start = time.perf_counter();"
+        "from lifthead.ledger.disk import DiskDirectory; start = time.perf_counter();"
         "rss = lambda: int(open('/proc/self/status').read().split('VmHWM:')[1].split()[0]); before = rss();"
-        "found = Journal(Directory(sys.argv[1]), 'x');"
+        "found = Journal(DiskDirectory(sys.argv[1]), 'x');"
         "print(found.book.last, time.perf_counter() - start, rss() - before)"
     )
     said = subprocess.run(
@@ -101,11 +101,11 @@
 def main(words):
     HERE.mkdir(parents=True, exist_ok=True)
     many = int(words[words.index("--entries") + 1]) if "--entries" in words else 1_000_000
-    say(bytes_an_entry=len(journal.frame(1, entry(1))))
+    say(bytes_an_entry=len(journal.encode_record(1, entry(1))))
     for size in (1, 10, 100, 1000):
         with tempfile.TemporaryDirectory(dir=HERE) as one, tempfile.TemporaryDirectory(dir=HERE) as two:
             groups = 400 if size < 1000 else 40
-            ours, theirs = write(Directory(one), groups, size), write_sqlite(Path(two), groups, size)
+            ours, theirs = write(DiskDirectory(one), groups, size), write_sqlite(Path(two), groups, size)
             loose = write(Unsynced(Path(one) / "loose"), groups, size)
             files = sum(file.stat().st_size for file in Path(two).iterdir())
             say(
@@ -118,7 +118,7 @@
                 sqlite_bytes_an_entry=round(files / groups / size),
             )
     for entries_, every in ((many, 10**12), (many, 50_000), (many * 10, 50_000)):
-        journal.SNAPSHOT_EVERY = every
+        journal.SNAPSHOT_INTERVAL = every
         path = Path(tempfile.mkdtemp(dir=HERE))
         try:
             start = time.perf_counter()
--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -300,22 +300,22 @@
     """Restart engines and routers in turn, drained before and cold after; exit 1 if it could not go on."""
     from lifthead.deployment.durations import micros
     from lifthead.members import rolling
-    from lifthead.members.drains import SelectorError, named
+    from lifthead.members.drains import SelectorError, select_by_labels
     from lifthead.members.roll import Plan, refusal
 
-    async def play(place: rolling.Place) -> str:
+    async def play(place: rolling.RollFile) -> str:
         kept = place.read()
         if forget:
             place.forget()
             return ""
         if resume != (kept is not None):
-            raise rolling.BusyError(
+            raise rolling.RollBusyError(
                 f"{place.path}: a roll is not over: --resume or --forget" if kept else "no roll to resume"
             )
         if kept is None:
-            lookout = rolling.Lookout(run)
-            facts = await lookout.facts()
-            engines = [] if selector == "-" else named(selector, lookout.places)
+            lookout = rolling.FleetObserver(run)
+            facts = await lookout.observe()
+            engines = [] if selector == "-" else select_by_labels(selector, lookout.labels)
             chosen = sorted(facts.routers) if routers == "all" else [*filter(None, routers.split(","))]
             if (engines and not restart) or (chosen and not restart_router):
                 raise ValueError("expected --restart for engines and --restart-router for routers")
@@ -325,17 +325,17 @@
             )  # fmt: skip
             if why := refusal(plan, facts):
                 raise ValueError(why)
-            kept = rolling.Kept(plan, restart, restart_router)
-        return await rolling.Rolling(run, place, kept, say).run()
+            kept = rolling.SavedRoll(plan, restart, restart_router)
+        return await rolling.RollRunner(run, place, kept, say).run()
 
     def say(text: str) -> None:
         print_json({"said": text}) if as_json else typer.echo(text)
 
     try:
         run.mkdir(parents=True, exist_ok=True)
-        with rolling.Place(run) as place:
+        with rolling.RollFile(run) as place:
             failed = asyncio.run(play(place))
-    except (rolling.BusyError, SelectorError, ValueError, OSError) as problem:
+    except (rolling.RollBusyError, SelectorError, ValueError, OSError) as problem:
         typer.echo(str(problem), err=True)
         raise typer.Exit(2) from None
     if failed:
@@ -371,23 +371,23 @@
 @app.command()
 def diff(file: Path, now: Path, settings: Path, as_json: AsJson = False) -> None:
     """What taking FILE in place of NOW would do; exit 1 if it would be refused or held back."""
-    from lifthead.members.listing import change, listing
+    from lifthead.members.listing import compare_listings, make_listing
 
     fleet = _fleet(settings)
     try:
-        then, before = (listing(script.engines(path.read_text(), str(path))) for path in (file, now))
+        then, before = (make_listing(script.engines(path.read_text(), str(path))) for path in (file, now))
     except (script.ScriptError, OSError, UnicodeDecodeError) as problem:
         typer.echo(str(problem), err=True)
         raise typer.Exit(2) from None
-    found = change(before, then, fleet)
+    found = compare_listings(before, then, fleet)
     if as_json:
-        print_json(found.plain() | {"digest": then.digest})
+        print_json(found.as_dict() | {"digest": then.digest})
     else:
         print_table(
-            [{"what": key, "engines": str(value)} for key, value in found.plain().items()],
+            [{"what": key, "engines": str(value)} for key, value in found.as_dict().items()],
             f"digest {then.digest}",
         )
-    if found.refused or found.held:
+    if found.refusal or found.confirmation_reason:
         raise typer.Exit(1)
 
 
--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -27,7 +27,7 @@
 from lifthead.hosting import now, wall_ahead
 from lifthead.http1 import HttpError
 from lifthead.interface import Demand, Deployment, Effect, Ending, EngineEntry, LoadReport
-from lifthead.members.weight import Lately
+from lifthead.members.weight import RecentAnswers
 from lifthead.resume.notice import Notice
 from lifthead.resume.rescue import Rescue
 from lifthead.resume.splice import SeamError, Splice
@@ -68,7 +68,7 @@
         self._streams: dict[int, ChatRequest] = {}  # whose stream has begun and may break, by serial
         self.notice = Notice(int(limits.stalled_for))
         self.rescue = Rescue()
-        self.lately = Lately()
+        self.lately = RecentAnswers()
         self.router = decide(self, deployment)
 
     # What comes in.
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -31,16 +31,16 @@
 from lifthead.engines.listing import follow
 from lifthead.fleet import admin, health
 from lifthead.http1 import Message
-from lifthead.ledger.disk import Directory
-from lifthead.ledger.keeper import Keeper, open_journal
-from lifthead.ledger.quota import Budget, Quota
-from lifthead.members import last, watch
-from lifthead.members.drains import Drains, SelectorError, Word, chosen
-from lifthead.members.handover import Predecessor, offer
-from lifthead.members.roster import Outcome, Roster
-from lifthead.members.store import Store, replace_file
-from lifthead.members.view import View
-from lifthead.members.weight import Weight, wish
+from lifthead.ledger.disk import DiskDirectory
+from lifthead.ledger.keeper import LedgerWriter, open_journal
+from lifthead.ledger.quota import Quota, TokenBudget
+from lifthead.members import last_list, watch
+from lifthead.members.drains import Drains, OperatorState, SelectorError, select_engines
+from lifthead.members.handover import Predecessor, offer_sockets
+from lifthead.members.registry import EngineRegistry, Outcome
+from lifthead.members.store import GenerationStore, replace_file
+from lifthead.members.view import FleetView
+from lifthead.members.weight import AdvertisedWeight, target_weight
 
 BACKLOG = 4096
 LAG_EVERY = 0.05
@@ -68,20 +68,20 @@
         if fleet.ledger:
             directory = Path(fleet.ledger.directory or run_dir / f"ledger-{name}")
             lost = self.gauges.unbilled.inc
-            self.keeper = Keeper(open_journal(directory), fleet.ledger, log, lost)
-            budgets = {each.tenant: Budget(each.tokens, each.soft) for each in fleet.budgets.values()}
+            self.keeper = LedgerWriter(open_journal(directory), fleet.ledger, log, lost)
+            budgets = {each.tenant: TokenBudget(each.tokens, each.soft) for each in fleet.budgets.values()}
             self.quota = Quota(budgets, len(fleet.routers))
             bill = Biller(self.keeper, self.quota)
             bill.take_up(list(budgets))
         self.biller = bill
-        self.view = View()
-        self.weight = Weight(random.Random(seed))
-        self.roster: Roster | None = None
+        self.view = FleetView()
+        self.weight = AdvertisedWeight(random.Random(seed))
+        self.roster: EngineRegistry | None = None
         self.following: asyncio.Task | None = None  # the watched file of engines
         self.drains = Drains(start.roles)
         self._drains_file = run_dir / f"operator-{name}.json"
         if self._drains_file.exists():  # what an operator drained stays so over a restart
-            self.drains.word = msgspec.json.decode(self._drains_file.read_bytes(), type=Word)
+            self.drains.state = msgspec.json.decode(self._drains_file.read_bytes(), type=OperatorState)
         self.host = Host(name, start, fleet.limits, tasks, self.gauges, log, resumes, bill, decide)
         self.clients = Clients(fleet.limits, self.answer, codec.error)
         self.stopping = asyncio.Event()
@@ -110,7 +110,7 @@
 
     def tell_file(self) -> None:
         assert self.roster
-        self.on_source("file", of_specs(self.roster.now.engines), True)
+        self.on_source("file", of_specs(self.roster.current.engines), True)
 
     def on_push(self, news: ListNews) -> None:
         self.on_source("push", news.engines, news.whole)
@@ -120,42 +120,42 @@
         """Keeps the last pushed list on the disk; goes by it at the start if no push comes."""
         kept, started = None, now()
         with contextlib.suppress(OSError, msgspec.DecodeError):
-            kept = msgspec.json.decode(self._list_file.read_bytes(), type=last.Last)
+            kept = msgspec.json.decode(self._list_file.read_bytes(), type=last_list.LastList)
         while True:
             await asyncio.sleep(0.25)
             wall = time.time_ns() // 1000
-            if kept and last.due(kept, now() - started, self.host.listed_at > 0, wall):
+            if kept and last_list.is_usable(kept, now() - started, self.host.listed_at > 0, wall):
                 self.log.warning(
                     "no list of engines is pushed: by the last one", age_s=(wall - kept.at) / 1e6
                 )
-                self.view.tell("push", kept.engines, True, now() - (wall - kept.at))
+                self.view.update("push", kept.engines, True, now() - (wall - kept.at))
                 self.tell_changes()
             if self._list_changed:
                 engines = self.view.engines_of("push")
                 # A full disk must not end a router that serves; the list is kept once there is room.
                 with contextlib.suppress(OSError):
-                    replace_file(self._list_file, msgspec.json.encode(last.Last(engines, wall)))
+                    replace_file(self._list_file, msgspec.json.encode(last_list.LastList(engines, wall)))
                     self._list_changed = False
 
     def on_source(self, source: str, engines: list[ListedEngine], whole: bool) -> None:
         """A source spoke: what of it changes the view is told to the module."""
-        kept_out = self.view.tell(source, engines, whole, now())
+        kept_out = self.view.update(source, engines, whole, now())
         if kept_out:
             self.log.error("a list of engines is kept out", source=source, why=kept_out)
         self.tell_changes()
 
     def tell_changes(self) -> None:
-        changes = self.view.changes(now())
-        said = self.drains.word
+        changes = self.view.take_changes(now())
+        said = self.drains.state
         if any(
             (engine.name in said.asked and engine.readiness == "ready")
             or engine.started_at < said.started.get(engine.name, 0)
             for engine in changes
         ):
-            self.drains.tell(
+            self.drains.publish(
                 self.view, now()
             )  # named after the drain was asked: held before the module hears of it
-            drained = {engine.name: engine for engine in self.view.changes(now())}
+            drained = {engine.name: engine for engine in self.view.take_changes(now())}
             changes = [drained.pop(engine.name, engine) for engine in changes] + list(drained.values())
         if changes or self.view.members:
             self.host.on_list(ListNews(False, changes))
@@ -178,7 +178,11 @@
                     raise BadReqError(405, "method_not_allowed", "expected POST")
                 asked = self.door.asked(message)
                 most = asked.prompt + asked.max_out
-                if (why := self._closed()) is None and self.quota and not self.quota.take(asked.tenant, most):
+                if (
+                    (why := self._closed()) is None
+                    and self.quota
+                    and not self.quota.reserve(asked.tenant, most)
+                ):
                     raise BadReqError(429, "insufficient_quota", f"tenant {asked.tenant} has used its budget")
                 if why is None:
                     await self.host.take(asked, reply, self.host.waited(message))
@@ -204,7 +208,7 @@
             return "this router drains"
         if not self.host.listed_at:
             return "this router has no list of engines yet"
-        if self.keeper and self.keeper.refuses:
+        if self.keeper and self.keeper.refuses_requests:
             return "this router can't write its ledger"
         if len(self.host.pending_requests) >= self.fleet.limits.in_hand:
             return "this router holds all that it may"
@@ -229,8 +233,8 @@
             ],
             "members": lambda _: {
                 "file": self.roster.state() if self.roster else None,
-                "sources": self.view.sources(now()),
-                "engines": self.view.rows(now()),
+                "sources": self.view.source_rows(now()),
+                "engines": self.view.engine_rows(now()),
             },
             "apply": self._apply,
             "rollback": self._rollback,
@@ -282,11 +286,11 @@
         """Drains engines, takes that back, or with neither tells how far it is."""
         # Limits are turned into this machine's own time by what the wall clock was ahead at the start.
         wall = now() + self.host.starts.wall_ahead
-        before = copy.deepcopy(self.drains.word)
+        before = copy.deepcopy(self.drains.state)
         try:
             if "selector" in question:
-                told = [member.told for member in self.view.members.values()]
-                names = chosen(str(question["selector"]), told)
+                told = [member.reported for member in self.view.members.values()]
+                names = select_engines(str(question["selector"]), told)
                 if question.get("undo"):
                     self.drains.undo(names, self.view, now(), int(question.get("started_at", 0)))
                 elif (why := self.drains.refusal(names, self.view)) and not question.get("force"):
@@ -294,7 +298,7 @@
                 else:
                     limit = int(question.get("limit", 0))
                     self.drains.drain(names, wall + limit if limit else 0, self.view, now())
-                replace_file(self._drains_file, msgspec.json.encode(self.drains.word))
+                replace_file(self._drains_file, msgspec.json.encode(self.drains.state))
                 self.log.info("drain engines", engines=names, undo=bool(question.get("undo")))
                 self.tell_changes()
         except SelectorError as problem:
@@ -318,7 +322,10 @@
         """Engines that flapped come back once they have been quiet."""
         while True:
             await asyncio.sleep(0.5)
-            if any(member.went and member.told.readiness != "ready" for member in self.view.members.values()):
+            if any(
+                member.departures and member.reported.readiness != "ready"
+                for member in self.view.members.values()
+            ):
                 self.tell_changes()
 
     async def measure(self) -> None:
@@ -335,7 +342,7 @@
                 full = len(self.host.pending_requests) / self.fleet.limits.in_hand
                 ended, pushed_back, _ = self.host.lately.counts(now())
                 self.gauges.weight.set(
-                    self.weight.turn(now(), wish(full, int(lately * 1e6), ended, pushed_back))
+                    self.weight.update(now(), target_weight(full, int(lately * 1e6), ended, pushed_back))
                 )
             if turn % 20 == 0:
                 self.gauges.lag.set(worst)
@@ -381,25 +388,28 @@
             loop.add_signal_handler(number, daemon.stopping.set)
         service = [tasks.create_task(daemon.measure()), tasks.create_task(daemon.host.look_after_streams())]
         if daemon.keeper:
-            service += [tasks.create_task(daemon.keeper.write()), tasks.create_task(daemon.keeper.export())]
+            service += [
+                tasks.create_task(daemon.keeper.run_writer()),
+                tasks.create_task(daemon.keeper.run_exports()),
+            ]
         if list_url:
             service.append(
                 tasks.create_task(follow(list_url, name, daemon.on_push, daemon.host.on_list_lost, log))
             )
             service.append(tasks.create_task(daemon.keep_list()))
         if engine_file:
-            store = Store(Directory(run_dir / f"engines-{name}"))
-            daemon.roster = Roster(fleet, store)
+            store = GenerationStore(DiskDirectory(run_dir / f"engines-{name}"))
+            daemon.roster = EngineRegistry(fleet, store)
             if daemon.roster.generation:
                 daemon.tell_file()  # the last good one: a restart does not begin with nothing
-            daemon.following = tasks.create_task(watch.follow(engine_file, daemon.on_file, log))
+            daemon.following = tasks.create_task(watch.watch_file(engine_file, daemon.on_file, log))
             service.append(daemon.following)
         elif not list_url:
             daemon.on_source("settings", of_specs(fleet.engines), True)
         service.append(tasks.create_task(daemon.settle()))
         if old:
             await _ready(daemon)
-            await asyncio.to_thread(old.go)
+            await asyncio.to_thread(old.take_over)
         # Listening to none until the health side can speak: a balancer never finds a port that lies.
         places = zip(
             (
@@ -431,7 +441,7 @@
 
         if not daemon.keeper:  # a ledger has one writer: its router is stopped and started
             listening = [server.sockets[0] for server in servers]
-            service.append(tasks.create_task(offer(handover_path, listening, hand_over)))
+            service.append(tasks.create_task(offer_sockets(handover_path, listening, hand_over)))
         log.info("serving", router=name, pid=os.getpid(), admin=str(socket), **daemon.addresses)
         print(
             msgspec.json.encode(
--- a/lifthead/ledger/book.py
+++ b/lifthead/ledger/book.py
@@ -6,14 +6,14 @@
 
 from lifthead.ledger.entries import Closed, Correction, Delivered, Entry, Planned, Usage
 
-BATCH = 5_000  # entries of one export at most
+MAX_BATCH_ENTRIES = 5_000  # entries of one export at most
 
 
 class RefusedError(Exception):
     """An entry that can't be taken: one line that says why."""
 
 
-class Sum(msgspec.Struct):
+class UsageTotal(msgspec.Struct):
     """What one tenant used of one endpoint group in one period."""
 
     reqs: int = 0
@@ -31,7 +31,7 @@
 
     last: int = 0
     at: int = 0  # the latest time of an entry: a clock that steps back does not take it along
-    sums: dict[Key, Sum] = field(default_factory=dict)
+    sums: dict[Key, UsageTotal] = field(default_factory=dict)
     closed: set[str] = field(default_factory=set)
     corrections: dict[str, Correction] = field(default_factory=dict)
     reversed: set[str] = field(default_factory=set)
@@ -80,7 +80,7 @@
             self.exported, self.planned = entry.last, None
 
     def _add(self, entry: Usage | Correction, reqs: int, prompt: int, answer: int, read_anew: int) -> None:
-        total = self.sums.setdefault((entry.period, entry.tenant, entry.group), Sum())
+        total = self.sums.setdefault((entry.period, entry.tenant, entry.group), UsageTotal())
         total.reqs += reqs
         total.prompt += prompt
         total.answer += answer
@@ -89,7 +89,7 @@
     def open_period(self, wanted: str) -> str:
         """The period for an entry of this one: a late entry counts in the first one after it that is open."""
         while wanted in self.closed:
-            wanted = following(wanted)
+            wanted = next_period(wanted)
         return wanted
 
     def reversal(self, of: str, new_id: str, at: int, period: str, why: str) -> Correction:
@@ -115,12 +115,12 @@
         """The batch to export now: the planned one again, else the next entries; None if there are none."""
         if self.planned:
             return self.planned
-        first, last = self.exported + 1, min(self.last, self.exported + BATCH)
+        first, last = self.exported + 1, min(self.last, self.exported + MAX_BATCH_ENTRIES)
         return (
             Planned(id=f"{ledger}-{first}-{last}", at=at, first=first, last=last) if last >= first else None
         )
 
-    def used(self, period: str, tenant: str) -> int:
+    def tokens_used(self, period: str, tenant: str) -> int:
         """Billed tokens of a tenant in a period."""
         return sum(
             each.prompt + each.answer
@@ -129,7 +129,7 @@
         )
 
 
-def following(period: str) -> str:
+def next_period(period: str) -> str:
     """The period after this one, of the same form."""
     from datetime import date, timedelta
 
@@ -139,7 +139,7 @@
     return (date.fromisoformat(period) + timedelta(days=1)).isoformat()
 
 
-class Kept(msgspec.Struct):
+class BookSnapshot(msgspec.Struct):
     """A book as a snapshot holds it."""
 
     last: int
@@ -152,9 +152,9 @@
     planned: Planned | None
 
 
-def keep(book: Book) -> bytes:
+def encode_book(book: Book) -> bytes:
     return msgspec.msgpack.encode(
-        Kept(
+        BookSnapshot(
             book.last,
             book.at,
             [
@@ -170,13 +170,13 @@
     )
 
 
-def kept(data: bytes) -> Book:
+def decode_book(data: bytes) -> Book:
     """The book of a snapshot; msgspec.DecodeError if it is none."""
-    found = msgspec.msgpack.decode(data, type=Kept)
+    found = msgspec.msgpack.decode(data, type=BookSnapshot)
     return Book(
         found.last,
         found.at,
-        {(p, t, g): Sum(*rest) for p, t, g, *rest in found.sums},
+        {(p, t, g): UsageTotal(*rest) for p, t, g, *rest in found.sums},
         set(found.closed),
         {each.id: each for each in found.corrections},
         set(found.reversed),
--- a/lifthead/ledger/command.py
+++ b/lifthead/ledger/command.py
@@ -141,7 +141,7 @@
 
     found, batches = _journal(directory), []
     while True:
-        planned, data, manifest = keeper.plan(found, time.time_ns() // 1000)
+        planned, data, manifest = keeper.plan_batch(found, time.time_ns() // 1000)
         if planned is None:
             break
         if to.startswith("http://"):
@@ -149,8 +149,8 @@
                 typer.echo(f"batch {planned.id} did not land: run it again", err=True)
                 raise typer.Exit(1)
         else:
-            export.put_files(Path(to), data, manifest)
-        keeper.landed(found, planned, time.time_ns() // 1000)
+            export.write_files(Path(to), data, manifest)
+        keeper.record_delivery(found, planned, time.time_ns() // 1000)
         batches.append(manifest)
     print_json(batches) if as_json else print_table(batches, "landed")
 
@@ -163,13 +163,13 @@
 ) -> None:
     """Exports beside the engines' own counts; exit 1 if a difference is not explained."""
     from lifthead.ledger import export
-    from lifthead.ledger.reconcile import ConflictError, Merged, compare
+    from lifthead.ledger.reconcile import ConflictError, MergedEntries, compare
     from lifthead.standins.record import lines
 
-    merged = Merged()
+    merged = MergedEntries()
     try:
         for path in exports:
-            merged.add(export.entries_of(path))
+            merged.add(export.read_entries(path))
         wrote = {
             line["id"]: line["tokens"] for path in engines for line in lines(path) if line["ev"] == "wrote"
         }
@@ -189,7 +189,7 @@
         for (period, tenant), each in sorted(merged.sums().items())
     ]
     differ = [
-        {"req": d.req, "tenant": d.tenant, "ours": d.ours, "theirs": d.theirs, "why": d.why}
+        {"req": d.request_id, "tenant": d.tenant, "ours": d.ours, "theirs": d.theirs, "why": d.why}
         for d in report.differ
     ]
     if as_json:
--- a/lifthead/ledger/disk.py
+++ b/lifthead/ledger/disk.py
@@ -24,7 +24,7 @@
     def sync_names(self) -> None: ...
 
 
-class Directory:
+class DiskDirectory:
     """A directory of the file system."""
 
     def __init__(self, path: str | Path) -> None:
--- a/lifthead/ledger/entries.py
+++ b/lifthead/ledger/entries.py
@@ -85,23 +85,23 @@
     return local.strftime("%Y-%m" if by == "month" else "%Y-%m-%d")
 
 
-def billed(ended: str, begun: bool, prompt: int, sent: int) -> tuple[int, int]:
+def billed_tokens(ended: str, first_token_sent: bool, prompt: int, sent: int) -> tuple[int, int]:
     """Prompt and answer tokens that are billed: what the client has seen, and the prompt if it saw anything.
     A pushed back req is free, and so is an abort before the first token: the client has nothing of it."""
-    if ended == "done" or (begun and ended in ("aborted", "left")):
+    if ended == "done" or (first_token_sent and ended in ("aborted", "left")):
         return prompt, sent
     return 0, 0
 
 
-def usage(
+def usage_entry(
     *,
-    req: str,
+    request_id: str,
     at: int,
     period: str,
     tenant: str,
     group: str,
     ended: str,
-    begun: bool,
+    first_token_sent: bool,
     prompt: int,
     kept: int,
     sent: int,
@@ -111,9 +111,9 @@
     read_anew: int,
 ) -> Usage:
     """The entry of a req that has ended."""
-    billed_prompt, billed_answer = billed(ended, begun, prompt, sent)
+    billed_prompt, billed_answer = billed_tokens(ended, first_token_sent, prompt, sent)
     return Usage(
-        id=req,
+        id=request_id,
         at=at,
         period=period,
         tenant=tenant,
--- a/lifthead/ledger/export.py
+++ b/lifthead/ledger/export.py
@@ -84,7 +84,7 @@
     return out.getvalue(), manifest
 
 
-def entries_of(file: bytes | Path) -> list[Entry]:
+def read_entries(file: bytes | Path) -> list[Entry]:
     """The entries of a batch's Parquet bytes; ValueError if its schema is not known."""
     table = pq.read_table(io.BytesIO(file) if isinstance(file, bytes) else file)
     version = (table.schema.metadata or {}).get(b"lifthead_schema", b"?").decode()
@@ -114,7 +114,7 @@
     return found
 
 
-def put_files(directory: Path, data: bytes, manifest: dict) -> None:
+def write_files(directory: Path, data: bytes, manifest: dict) -> None:
     """A batch as two files; the manifest comes last and by a rename, so that one that is there is whole."""
     directory.mkdir(parents=True, exist_ok=True)
     for name, content in (
--- a/lifthead/ledger/journal.py
+++ b/lifthead/ledger/journal.py
@@ -17,28 +17,32 @@
 import msgspec
 from crc32c import crc32c
 
-from lifthead.ledger.book import Book, keep, kept
+from lifthead.ledger.book import Book, decode_book, encode_book
 from lifthead.ledger.disk import Disk
 from lifthead.ledger.entries import Entry, Planned, decode, encode
 
-HEAD = struct.Struct("<II")
-MOST = 1 << 20  # bytes of one payload
-SEGMENT = 8 << 20  # bytes after which a new segment is begun
-SNAPSHOT_EVERY = 50_000  # entries
-SNAPSHOTS = 2  # kept
+RECORD_HEADER = struct.Struct("<II")
+MAX_PAYLOAD_BYTES = 1 << 20  # bytes of one payload
+SEGMENT_BYTES = 8 << 20  # bytes after which a new segment is begun
+SNAPSHOT_INTERVAL = 50_000  # entries
+KEPT_SNAPSHOTS = 2  # kept
 
 
-def frame(number: int, entry: Entry) -> bytes:
+def encode_record(number: int, entry: Entry) -> bytes:
     payload = encode((number, entry))
-    return HEAD.pack(len(payload), crc32c(payload)) + payload
+    return RECORD_HEADER.pack(len(payload), crc32c(payload)) + payload
 
 
-def records(data: bytes) -> Iterator[tuple[int, Entry]]:
+def read_records(data: bytes) -> Iterator[tuple[int, Entry]]:
     """Whole records of a segment, in order; bytes that are none are passed over."""
     at, end = 0, len(data)
-    while at + HEAD.size <= end:
-        size, sum_ = HEAD.unpack_from(data, at)
-        payload = data[at + HEAD.size : at + HEAD.size + size] if size <= MOST else b""
+    while at + RECORD_HEADER.size <= end:
+        size, sum_ = RECORD_HEADER.unpack_from(data, at)
+        payload = (
+            data[at + RECORD_HEADER.size : at + RECORD_HEADER.size + size]
+            if size <= MAX_PAYLOAD_BYTES
+            else b""
+        )
         if size and len(payload) == size and crc32c(payload) == sum_:
             try:
                 found = decode(payload)
@@ -46,7 +50,7 @@
                 at += 1
                 continue
             yield found
-            at += HEAD.size + size
+            at += RECORD_HEADER.size + size
         else:
             at += 1  # looks for the next whole record
 
@@ -78,9 +82,9 @@
         for name in sorted((name for name in names if name.startswith("snap-")), reverse=True):
             try:
                 data = self._disk.read(name)
-                size, sum_ = HEAD.unpack_from(data)
-                if size == len(data) - HEAD.size and crc32c(data[HEAD.size :]) == sum_:
-                    self.book = kept(data[HEAD.size :])
+                size, sum_ = RECORD_HEADER.unpack_from(data)
+                if size == len(data) - RECORD_HEADER.size and crc32c(data[RECORD_HEADER.size :]) == sum_:
+                    self.book = decode_book(data[RECORD_HEADER.size :])
                     break
             except (OSError, struct.error, msgspec.DecodeError):
                 continue
@@ -99,7 +103,7 @@
             bound = self._first(segments[at + 1]) - 1 if at + 1 < len(segments) else None
             if bound is not None and bound < first:
                 continue
-            for number, entry in records(self._disk.read(name)):
+            for number, entry in read_records(self._disk.read(name)):
                 if number > seen and (last is None or number <= last) and (bound is None or number <= bound):
                     seen = number
                     yield number, entry
@@ -117,9 +121,9 @@
         data = bytearray()
         for entry in entries:
             number += 1
-            data += frame(number, entry)
+            data += encode_record(number, entry)
         try:
-            if not self._segment or self._size > SEGMENT:
+            if not self._segment or self._size > SEGMENT_BYTES:
                 self._begin_segment()
             self._disk.append(self._segment, bytes(data))
             self._disk.sync(self._segment)
@@ -141,14 +145,14 @@
         self._disk.sync_names()
         self._segment, self._size = name, 0
 
-    def tidy(self, force: bool = False) -> None:
+    def compact(self, force: bool = False) -> None:
         """A snapshot now and then; segments go once all in them has been exported and is in a snapshot."""
-        if not force and self.book.last - self._snapshot_at < SNAPSHOT_EVERY:
+        if not force and self.book.last - self._snapshot_at < SNAPSHOT_INTERVAL:
             return
-        data, name = keep(self.book), f"snap-{self.book.last:012}"
+        data, name = encode_book(self.book), f"snap-{self.book.last:012}"
         if name + ".part" in self._disk.names():
             self._disk.remove(name + ".part")  # of a try that failed
-        self._disk.append(name + ".part", HEAD.pack(len(data), crc32c(data)) + data)
+        self._disk.append(name + ".part", RECORD_HEADER.pack(len(data), crc32c(data)) + data)
         self._disk.sync(name + ".part")
         self._disk.rename(name + ".part", name)
         self._disk.sync_names()
@@ -156,14 +160,14 @@
         names = self._disk.names()
         snapshots = sorted(each for each in names if each.startswith("snap-") and not each.endswith(".part"))
         segments = sorted(each for each in names if each.startswith("seg-"))
-        oldest = int(snapshots[-SNAPSHOTS:][0][5:])
+        oldest = int(snapshots[-KEPT_SNAPSHOTS:][0][5:])
         for segment, following in zip(segments, segments[1:], strict=False):
             if self._first(following) - 1 <= min(self.book.exported, oldest) and segment != self._segment:
                 self._disk.remove(segment)
-        for old in snapshots[:-SNAPSHOTS]:
+        for old in snapshots[:-KEPT_SNAPSHOTS]:
             self._disk.remove(old)
         self._disk.sync_names()
 
-    def batch(self, planned: Planned) -> list[tuple[int, Entry]]:
+    def read_batch(self, planned: Planned) -> list[tuple[int, Entry]]:
         """The entries of a batch."""
         return list(self.entries(planned.first, planned.last))
--- a/lifthead/ledger/keeper.py
+++ b/lifthead/ledger/keeper.py
@@ -14,7 +14,7 @@
 from lifthead.deployment.fleet import LedgerTerms
 from lifthead.ledger import export
 from lifthead.ledger.book import RefusedError
-from lifthead.ledger.disk import Directory, Disk
+from lifthead.ledger.disk import Disk, DiskDirectory
 from lifthead.ledger.entries import Delivered, Entry, Usage, period_of
 from lifthead.ledger.journal import Journal
 
@@ -30,7 +30,7 @@
     """Another process has this ledger open."""
 
 
-def open_journal(path: Path, disk: Callable[[Path], Disk] = Directory) -> Journal:
+def open_journal(path: Path, disk: Callable[[Path], Disk] = DiskDirectory) -> Journal:
     """The ledger in this directory, made if there is none; LockedError if another process has it."""
     path.mkdir(parents=True, exist_ok=True)
     lock = open(path / "lock", "a")  # noqa: SIM115 - held as long as the process, or until the journal goes
@@ -44,7 +44,7 @@
     return journal
 
 
-class Keeper:
+class LedgerWriter:
     def __init__(self, journal: Journal, terms: LedgerTerms, log: Any, lost: Callable[[int], None]) -> None:
         self.journal, self.terms = journal, terms
         self.unwritable = False
@@ -67,11 +67,11 @@
         return self.journal.book.open_period(wanted)
 
     @property
-    def refuses(self) -> bool:
+    def refuses_requests(self) -> bool:
         """Whether no req is to be taken, since what it uses could not be written down."""
         return self.unwritable and self.terms.when_unwritable == "refuse"
 
-    def put(self, entry: Usage) -> asyncio.Event:
+    def append(self, entry: Usage) -> asyncio.Event:
         """Takes an entry; the event is set once it is on the disk."""
         sure = asyncio.Event()
         if len(self._queue) >= MOST_WAITING:
@@ -85,9 +85,9 @@
         self._wanted.set()
         return sure
 
-    async def sure(self, entry: Usage) -> None:
+    async def append_and_wait(self, entry: Usage) -> None:
         """Takes an entry and waits for the disk, where the settings say so."""
-        event = self.put(entry)
+        event = self.append(entry)
         if self.terms.wait and not self.unwritable:
             try:
                 async with asyncio.timeout(LEAVE_AFTER):
@@ -97,7 +97,7 @@
                     "the disk is too slow: an answer ends before its entry is sure", entry=entry.id
                 )
 
-    async def write(self) -> None:
+    async def run_writer(self) -> None:
         """Group commit: all that waits is written at once, with one wait for the disk."""
         while True:
             await self._wanted.wait()
@@ -131,7 +131,7 @@
                 return self._unwritable(problem)
             del self._queue[: len(group)]
             try:
-                await asyncio.to_thread(self.journal.tidy)
+                await asyncio.to_thread(self.journal.compact)
             except OSError as problem:  # the entries are sure; the snapshot is made another time
                 self._log.error("no snapshot of the ledger can be written", said=str(problem))
         if self.unwritable:
@@ -155,42 +155,42 @@
             return msgspec.structs.replace(entry, period=self.journal.book.open_period(entry.period))
         return entry
 
-    async def export(self) -> None:
+    async def run_exports(self) -> None:
         """Sends batch after batch to the billing system, and tries again for ever."""
         wait = self.terms.export_every / 1e6
         while self.terms.export_to:
             await asyncio.sleep(wait)
             try:
-                while await self.export_one():
+                while await self.export_batch():
                     pass
             except OSError as problem:  # whether entries can be written is told by writing entries
                 self._log.error("an export can't be noted in the ledger", said=str(problem))
             except RefusedError as problem:
                 self._log.error("an export does not fit the ledger", said=str(problem))
 
-    async def export_one(self) -> bool:
+    async def export_batch(self) -> bool:
         """One batch; False if there is none, or if it did not land this time."""
         async with self._disk:
-            planned, data, manifest = await asyncio.to_thread(plan, self.journal, self.now())
+            planned, data, manifest = await asyncio.to_thread(plan_batch, self.journal, self.now())
         if planned is None:
             return False
         if manifest["rows"] and not await export.deliver(self.terms.export_to, data, manifest):
             self._log.warning("a batch did not land: it is sent again", batch=planned.id)
             return False
         async with self._disk:
-            await asyncio.to_thread(landed, self.journal, planned, self.now())
+            await asyncio.to_thread(record_delivery, self.journal, planned, self.now())
         self._log.info("a batch has landed", batch=planned.id, rows=manifest["rows"])
         return True
 
 
-def plan(journal: Journal, at: int) -> tuple[Any, bytes, dict]:
+def plan_batch(journal: Journal, at: int) -> tuple[Any, bytes, dict]:
     """Plans the next batch in the ledger, unless one is planned, and makes its file. Nothing is planned for
     the ledger's own notes alone."""
     book = journal.book
     planned = book.next_batch(journal.name, at)
     if planned is None:
         return None, b"", {}
-    entries = journal.batch(planned)
+    entries = journal.read_batch(planned)
     data, manifest = export.batch_file(planned.id, journal.name, entries)
     if not book.planned:
         if not manifest["rows"]:
@@ -200,7 +200,7 @@
     return planned, data, manifest
 
 
-def landed(journal: Journal, planned: Any, at: int) -> None:
+def record_delivery(journal: Journal, planned: Any, at: int) -> None:
     entry = Delivered(id=planned.id, at=at, first=planned.first, last=planned.last)
     journal.book.check(entry)
     journal.append([entry])
--- a/lifthead/ledger/quota.py
+++ b/lifthead/ledger/quota.py
@@ -1,7 +1,7 @@
 """A tenant's budget of tokens a period, split over routers that share nothing.
 
 Each router holds an even part. Up to the soft end nothing happens. From there on the tenant's share at this
-router, in the module's own terms, falls in a straight line to `LEAST` of itself: what it sends beyond is
+router, in the module's own terms, falls in a straight line to `MIN_SHARE` of itself: what it sends beyond is
 pushed back first when there is too much. At the hard end its reqs are refused before they are taken. A req
 is let in by what it may use at most, so all routers together never go over the budget by use; by what is in
 hand when a budget is lowered they may. A tenant whose reqs all come to one router gets that router's part
@@ -10,11 +10,11 @@
 
 from dataclasses import dataclass
 
-LEAST = 0.1  # of its share that a tenant keeps at the hard end
+MIN_SHARE = 0.1  # of its share that a tenant keeps at the hard end
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
+class TokenBudget:
     """Tokens a period, for all routers together."""
 
     tokens: int
@@ -24,18 +24,18 @@
 class Quota:
     """What one router lets each tenant use of its budget."""
 
-    def __init__(self, budgets: dict[str, Budget], routers: int) -> None:
+    def __init__(self, budgets: dict[str, TokenBudget], routers: int) -> None:
         self._parts = {name: budget.tokens // max(routers, 1) for name, budget in budgets.items()}
         self._soft = {name: budget.soft for name, budget in budgets.items()}
         self._used: dict[str, int] = {}
         self._in_hand: dict[str, int] = {}
         self._period = ""
 
-    def period(self, name: str, used: dict[str, int]) -> None:
+    def start_period(self, name: str, used: dict[str, int]) -> None:
         """A period begins, or is taken up again after a start: what is used of it by now."""
         self._period, self._used = name, dict(used)
 
-    def take(self, tenant: str, most: int) -> bool:
+    def reserve(self, tenant: str, most: int) -> bool:
         """Whether a req that may use so many tokens fits; if so, they are held until `settle`."""
         part = self._parts.get(tenant)
         if part is None:
@@ -59,9 +59,9 @@
         gone, soft = self._used.get(tenant, 0) / part, self._soft[tenant]
         if gone <= soft:
             return 1.0
-        return max(1 - (1 - LEAST) * (gone - soft) / max(1 - soft, 1e-9), LEAST)
+        return max(1 - (1 - MIN_SHARE) * (gone - soft) / max(1 - soft, 1e-9), MIN_SHARE)
 
-    def left(self, tenant: str) -> int | None:
+    def remaining(self, tenant: str) -> int | None:
         """Tokens that it may still use here; None without a budget."""
         part = self._parts.get(tenant)
         return (
--- a/lifthead/ledger/reconcile.py
+++ b/lifthead/ledger/reconcile.py
@@ -15,12 +15,12 @@
 
 
 @dataclass(slots=True)
-class Merged:
+class MergedEntries:
     """Entries of any exports, each once."""
 
     entries: dict[str, Usage | Correction] = field(default_factory=dict)
 
-    def add(self, entries: list[Entry]) -> "Merged":
+    def add(self, entries: list[Entry]) -> "MergedEntries":
         for entry in entries:
             if not isinstance(entry, (Usage, Correction)):
                 continue
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    req: str
+    request_id: str
     tenant: str
     ours: int  # answer tokens that the ledger says engines made
     theirs: int  # ... and that engines say they wrote
@@ -58,7 +58,7 @@
     differ: list[Difference] = field(default_factory=list)
 
 
-def compare(merged: Merged, wrote: dict[str, int]) -> Report:
+def compare(merged: MergedEntries, wrote: dict[str, int]) -> Report:
     """`wrote`: answer tokens by forward id (`REQ.FORWARD`), as engines count them."""
     theirs: dict[str, int] = defaultdict(int)
     for forward, tokens in wrote.items():
--- a/lifthead/members/handover.py
+++ b/lifthead/members/handover.py
@@ -32,7 +32,7 @@
         if hello != HELLO or len(numbers) != count:
             raise OSError(f"{path}: expected {count} sockets, got {len(numbers)}")
 
-    def go(self) -> None:
+    def take_over(self) -> None:
         """Has it stop accepting; returns once it has, or is dead."""
         with contextlib.suppress(OSError):
             self._line.sendall(GO)
@@ -40,7 +40,7 @@
         self._line.close()
 
 
-async def offer(path: Path, sockets: Sequence[Any], go: Callable[[], None]) -> None:
+async def offer_sockets(path: Path, sockets: Sequence[Any], go: Callable[[], None]) -> None:
     """Hands the sockets to whoever asks, one at a time; calls `go` and returns once one is ready to serve."""
     loop = asyncio.get_running_loop()
     path.unlink(missing_ok=True)
--- a/lifthead/members/last.py
+++ b/lifthead/members/last_list.py
@@ -7,21 +7,23 @@
 
 from lifthead.engines.codec import ListedEngine
 
-WAIT = 1_000_000  # microseconds that a starting router waits for a push before it goes by its last list
-OLDEST = 24 * 3_600_000_000  # a list older than this says too little of a fleet
+PUSH_WAIT_US = (
+    1_000_000  # microseconds that a starting router waits for a push before it goes by its last list
+)
+MAX_AGE_US = 24 * 3_600_000_000  # a list older than this says too little of a fleet
 
 
-class Last(msgspec.Struct):
+class LastList(msgspec.Struct):
     """A pushed list as it was last told, and when (wall clock, microseconds)."""
 
     engines: list[ListedEngine] = []
     at: int = 0
 
 
-def due(last: Last | None, waited: int, listed: bool, wall: int) -> bool:
+def is_usable(last: LastList | None, waited: int, listed: bool, wall: int) -> bool:
     """Whether a router that has waited so long for its first list goes by its last one now. One that may
     hold nothing that is ready is no help, and one from the future is from a clock that was wrong."""
-    if last is None or listed or waited < WAIT:
+    if last is None or listed or waited < PUSH_WAIT_US:
         return False
     alive = any(engine.readiness == "ready" for engine in last.engines)
-    return alive and 0 <= wall - last.at <= OLDEST
+    return alive and 0 <= wall - last.at <= MAX_AGE_US
--- a/lifthead/members/listing.py
+++ b/lifthead/members/listing.py
@@ -1,4 +1,4 @@
-"""A file's list of engines: what it says, whether it may be taken, and what would change."""
+"""An engine list read from a file: its content, whether it may be applied, and what it would change."""
 
 from dataclasses import dataclass, field
 from hashlib import blake2b
@@ -8,69 +8,76 @@
 
 from lifthead.deployment.fleet import EngineSpec, Fleet
 
-MOST_GONE = 0.3  # of the engines that may go at once without a word of confirmation
+MAX_REMOVED_SHARE = 0.3  # share of the engines that one list may remove without confirmation
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """The engines of one file, by name, and a digest of what it says (not of how it is written)."""
+    """The engines of one file by name, and a digest of the content that ignores order and formatting."""
 
     engines: dict[str, EngineSpec]
     digest: str
 
 
-def listing(engines: dict[str, EngineSpec]) -> Listing:
+def make_listing(engines: dict[str, EngineSpec]) -> Listing:
     plain = [msgspec.to_builtins(engines[name]) for name in sorted(engines)]
     return Listing(dict(engines), blake2b(msgspec.json.encode(plain), digest_size=8).hexdigest())
 
 
 @dataclass(slots=True)
-class Change:
-    """What taking a listing in place of another would do."""
+class ListingChange:
+    """The effect of replacing one listing by another."""
 
     added: list[str] = field(default_factory=list)
     removed: list[str] = field(default_factory=list)
-    changed: dict[str, list[str]] = field(default_factory=dict)  # fields by engine
-    refused: str = ""  # why it is never taken
-    held: str = ""  # why it waits for confirmation
+    changed: dict[str, list[str]] = field(default_factory=dict)  # engine name -> changed fields
+    refusal: str = ""  # why the listing can never be applied
+    confirmation_reason: str = ""  # why an operator has to confirm it first
 
-    def plain(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         return {
             "added": self.added,
             "removed": self.removed,
             "changed": self.changed,
-            "refused": self.refused,
-            "held": self.held,
+            "refused": self.refusal,
+            "held": self.confirmation_reason,
         }
 
 
-def change(now: Listing, then: Listing, fleet: Fleet) -> Change:
-    """What differs, and whether it may be taken. A listing that no req could be served by is refused; one
-    that takes away every writer in use, or more than `MOST_GONE` of all, waits for confirmation: it is more
-    often a mistake than a wish, and waiting does not make a mistake right."""
-    found = Change(sorted(set(then.engines) - set(now.engines)), sorted(set(now.engines) - set(then.engines)))
-    for name in sorted(set(now.engines) & set(then.engines)):
-        one, two = msgspec.to_builtins(now.engines[name]), msgspec.to_builtins(then.engines[name])
-        fields = [key for key in one if one[key] != two[key]]
-        if fields:
-            found.changed[name] = fields
-    found.refused = _fault(then, fleet)
-    writers = {name for name, spec in now.engines.items() if _writes(spec, fleet)}
-    if writers and not writers & set(then.engines):
-        found.held = f"it takes away all {len(writers)} writers in use"
-    elif now.engines and len(found.removed) > MOST_GONE * len(now.engines):
-        found.held = f"it takes away {len(found.removed)} of {len(now.engines)} engines"
-    return found
-
-
-def _writes(spec: EngineSpec, fleet: Fleet) -> bool:
+def compare_listings(current: Listing, proposed: Listing, fleet: Fleet) -> ListingChange:
+    """Compares two listings and decides whether the proposed one may be applied. A listing that could serve
+    no request is refused. One that removes every decode engine in use, or more than `MAX_REMOVED_SHARE` of
+    all engines, waits for confirmation: it is more often a mistake than intended."""
+    change = ListingChange(
+        sorted(set(proposed.engines) - set(current.engines)),
+        sorted(set(current.engines) - set(proposed.engines)),
+    )
+    for name in sorted(set(current.engines) & set(proposed.engines)):
+        old_spec, new_spec = (
+            msgspec.to_builtins(current.engines[name]),
+            msgspec.to_builtins(proposed.engines[name]),
+        )
+        changed_fields = [key for key in old_spec if old_spec[key] != new_spec[key]]
+        if changed_fields:
+            change.changed[name] = changed_fields
+    change.refusal = _refusal(proposed, fleet)
+    decode_engines = {name for name, spec in current.engines.items() if _can_decode(spec, fleet)}
+    if decode_engines and not decode_engines & set(proposed.engines):
+        change.confirmation_reason = f"it removes all {len(decode_engines)} decode engines in use"
+    elif current.engines and len(change.removed) > MAX_REMOVED_SHARE * len(current.engines):
+        change.confirmation_reason = f"it removes {len(change.removed)} of {len(current.engines)} engines"
+    return change
+
+
+def _can_decode(spec: EngineSpec, fleet: Fleet) -> bool:
     kind = fleet.kinds.get(spec.kind)
     return kind is not None and kind.role != "read"
 
 
-def _fault(then: Listing, fleet: Fleet) -> str:
+def _refusal(proposed: Listing, fleet: Fleet) -> str:
+    """Why the listing can't be applied, "" if it can."""
     addresses: dict[str, str] = {}
-    for name, spec in then.engines.items():
+    for name, spec in proposed.engines.items():
         if spec.kind not in fleet.kinds:
             return (
                 f"engine {name}, field kind: {spec.kind!r} is no kind(), expected one of {list(fleet.kinds)}"
@@ -79,7 +86,7 @@
             return f"engine {name}, field address: expected a port, got {spec.address}"
         other = addresses.setdefault(spec.address, name)
         if other != name:
-            return f"engine {name}, field address: {spec.address} is {other}'s already"
-    if not any(_writes(spec, fleet) for spec in then.engines.values()):
-        return "no engine in it writes, expected one at least"
+            return f"engine {name}, field address: {spec.address} is already used by {other}"
+    if not any(_can_decode(spec, fleet) for spec in proposed.engines.values()):
+        return "it has no engine that can decode, expected at least one"
     return ""
--- a/lifthead/members/roll.py
+++ b/lifthead/members/roll.py
@@ -40,7 +40,7 @@
         return self.stage not in ("waiting", "done")
 
 
-class EngineSeen(msgspec.Struct):
+class EngineStatus(msgspec.Struct):
     """An engine as all routers that answer see it together."""
 
     role: str
@@ -53,47 +53,47 @@
     up: bool = False  # it takes connections; looked at while it returns
 
 
-class RouterSeen(msgspec.Struct):
+class RouterStatus(msgspec.Struct):
     ready: bool = True
     reqs: int = 0
     life: int = 0  # its process
 
 
-class Facts(msgspec.Struct):
-    engines: dict[str, EngineSeen]
-    routers: dict[str, RouterSeen]  # the ones that answer
+class FleetStatus(msgspec.Struct):
+    engines: dict[str, EngineStatus]
+    routers: dict[str, RouterStatus]  # the ones that answer
     ended: int = 0  # answers of the last seconds, of all routers
     missed: int = 0
     silent: set[str] = set()  # routers that run and do not answer: what they have there is not known
 
 
 class Host(Protocol):
-    def keep(self, steps: list[Step]) -> None: ...
+    def save(self, steps: list[Step]) -> None: ...
     def drain(self, step: Step) -> None: ...
     def restart(self, step: Step) -> None:
         """Starts the restart; its end comes as `on_restarted`, on a later turn."""
 
-    def release(self, step: Step) -> None: ...
-    def say(self, text: str) -> None: ...
+    def undrain(self, step: Step) -> None: ...
+    def report(self, text: str) -> None: ...
 
 
-def refusal(plan: Plan, facts: Facts) -> str:
+def refusal(plan: Plan, fleet: FleetStatus) -> str:
     """Why the floor can't be kept even with all engines well, "" if it can."""
-    well = {name: msgspec.structs.replace(seen, ready=True) for name, seen in facts.engines.items()}
+    well = {name: msgspec.structs.replace(seen, ready=True) for name, seen in fleet.engines.items()}
     for name in plan.engines:
         if name not in well:
             return f"no router knows an engine {name!r}"
         if short := _short(name, well, set(), plan.floor):
             return short
     for name in plan.routers:
-        if name not in facts.routers:
+        if name not in fleet.routers:
             return f"router {name!r} does not answer"
-    if plan.routers and len(facts.routers) < 2:
+    if plan.routers and len(fleet.routers) < 2:
         return f"{plan.routers[0]} is the only router that answers: none would be left"
     return ""
 
 
-def _short(name: str, engines: dict[str, EngineSeen], away: set[str], floor: float) -> str:
+def _short(name: str, engines: dict[str, EngineStatus], away: set[str], floor: float) -> str:
     """What would be missing with this engine out of service, "" if nothing."""
     own = engines[name]
     if not own.ready:
@@ -123,31 +123,31 @@
         self._begun = 0  # this tool's first look: time without one counts against nobody
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         return all(step.stage == "done" for step in self.steps)
 
-    def look(self, facts: Facts, now: int) -> None:
+    def advance(self, fleet: FleetStatus, now: int) -> None:
         """A look, a few times a second: each one under way goes on, then a next one may begin."""
         self._begun = self._begun or now
         for step in self.steps:
             if step.under_way:
-                self._router(step, facts, now) if step.router else self._engine(step, facts, now)
-        why = self.failed or self._wait(facts)
+                self._router(step, fleet, now) if step.router else self._engine(step, fleet, now)
+        why = self.failed or self._wait(fleet)
         waiting = [step for step in self.steps if step.stage == "waiting"]
         for step in waiting if not why else ():
             under_way = [each.name for each in self.steps if each.under_way]
             if len(under_way) >= (1 if step.router else self.plan.at_once):
                 break
-            blocked = self._blocked(step, set(under_way), facts)
+            blocked = self._blocked(step, set(under_way), fleet)
             if not blocked:
-                step.life = facts.routers[step.name].life if step.router else 0
+                step.life = fleet.routers[step.name].life if step.router else 0
                 self._reach(step, "draining", now)
                 self.host.drain(step)
             elif not under_way and step is waiting[0]:
                 why = blocked
         if why != self.paused:
             self.paused = why
-            self.host.say(f"waits: {why}" if why else "goes on")
+            self.host.report(f"waits: {why}" if why else "goes on")
 
     def on_restarted(self, name: str, problem: str, now: int) -> None:
         """The restart's command has ended; `problem` tells how it failed, "" if it did not."""
@@ -158,12 +158,12 @@
         elif step.stage == "restarting":
             self._reach(step, "returning", now)
 
-    def _engine(self, step: Step, facts: Facts, now: int) -> None:
-        seen, waited = facts.engines.get(step.name), now - max(step.since, self._begun)
+    def _engine(self, step: Step, fleet: FleetStatus, now: int) -> None:
+        seen, waited = fleet.engines.get(step.name), now - max(step.since, self._begun)
         if seen and seen.open and step.stage in ("draining", "restarting", "returning"):
             self.host.drain(step)  # a router that was away when it was asked, or was started since
             return
-        is_empty = (seen is None or not seen.out) and not facts.silent
+        is_empty = (seen is None or not seen.out) and not fleet.silent
         if step.stage == "draining" and (is_empty or self._overdue(waited)):
             self._reach(step, "restarting", now)
         if step.stage == "restarting":
@@ -171,17 +171,17 @@
         elif step.stage == "returning":
             if seen and seen.up:
                 self._reach(step, "warming", now)
-                self.host.release(step)
+                self.host.undrain(step)
             elif waited > self.plan.back_within:
                 self._fail(f"{step.name} is not back after {waited / 1e6:.0f} s; it stays drained")
         elif step.stage == "warming":
             if seen and seen.drained:
-                self.host.release(step)  # a router that was away when it was told
-            elif seen and seen.ready and not facts.silent:  # one of those may still have it drained
+                self.host.undrain(step)  # a router that was away when it was told
+            elif seen and seen.ready and not fleet.silent:  # one of those may still have it drained
                 self._reach(step, "done", now)
 
-    def _router(self, step: Step, facts: Facts, now: int) -> None:
-        seen, waited = facts.routers.get(step.name), now - max(step.since, self._begun)
+    def _router(self, step: Step, fleet: FleetStatus, now: int) -> None:
+        seen, waited = fleet.routers.get(step.name), now - max(step.since, self._begun)
         if step.stage == "draining":
             if seen is None or seen.life != step.life or not seen.reqs or self._overdue(waited):
                 self._reach(step, "restarting", now)
@@ -198,27 +198,27 @@
     def _overdue(self, waited: int) -> bool:
         return self.plan.limit > 0 and waited > self.plan.limit + OVERDUE
 
-    def _wait(self, facts: Facts) -> str:
+    def _wait(self, fleet: FleetStatus) -> str:
         """Why nothing new is begun now, with hysteresis; "" if it may be."""
-        if facts.silent:
-            return f"router {min(facts.silent)} does not answer"
+        if fleet.silent:
+            return f"router {min(fleet.silent)} does not answer"
         over = self.plan.pause_over * (AGAIN_UNDER if self.paused else 1.0)
-        if facts.ended >= ENOUGH and facts.missed > over * facts.ended:
+        if fleet.ended >= ENOUGH and fleet.missed > over * fleet.ended:
             return "targets are missed"
-        return "" if facts.routers else "no router answers"
+        return "" if fleet.routers else "no router answers"
 
-    def _blocked(self, step: Step, away: set[str], facts: Facts) -> str:
+    def _blocked(self, step: Step, away: set[str], fleet: FleetStatus) -> str:
         """Why this one may not be begun now, "" if it may."""
         if step.router:
             if any(each.stage != "done" for each in self.steps if not each.router):
                 return "engines are not done"
-            ill = [name for name, seen in facts.routers.items() if not seen.ready]
-            if step.name not in facts.routers or ill:
+            ill = [name for name, seen in fleet.routers.items() if not seen.ready]
+            if step.name not in fleet.routers or ill:
                 return f"router {(ill or [step.name])[0]} is not ready"
             return ""
-        if step.name not in facts.engines:
+        if step.name not in fleet.engines:
             return f"no router knows {step.name}"
-        return _short(step.name, facts.engines, away, self.plan.floor)
+        return _short(step.name, fleet.engines, away, self.plan.floor)
 
     def _restart(self, step: Step) -> None:
         if step.name not in self._restarting:
@@ -227,8 +227,8 @@
 
     def _reach(self, step: Step, stage: Stage, now: int) -> None:
         step.stage, step.since = stage, now
-        self.host.keep(self.steps)  # before the act: a killed tool knows what it may have done
-        self.host.say(f"{step.name}: {stage}")
+        self.host.save(self.steps)  # before the act: a killed tool knows what it may have done
+        self.host.report(f"{step.name}: {stage}")
 
     def _fail(self, why: str) -> None:
         if not self.failed:
--- a/lifthead/members/rolling.py
+++ b/lifthead/members/rolling.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from lifthead.fleet import admin
-from lifthead.members.roll import EngineSeen, Facts, Plan, Roll, RouterSeen, Step
+from lifthead.members.roll import EngineStatus, FleetStatus, Plan, Roll, RouterStatus, Step
 from lifthead.members.store import replace_file
 
 LOOK_EVERY = 0.25  # seconds
@@ -27,7 +27,7 @@
     return time.time_ns() // 1000
 
 
-class Kept(msgspec.Struct):
+class SavedRoll(msgspec.Struct):
     """A roll on the disk."""
 
     plan: Plan
@@ -36,11 +36,11 @@
     steps: list[Step] = []
 
 
-class BusyError(Exception):
+class RollBusyError(Exception):
     """Another tool is rolling this fleet, or a roll was begun and is not over."""
 
 
-class Place:
+class RollFile:
     """The roll's file, held by one tool at a time."""
 
     def __init__(self, run: Path) -> None:
@@ -50,7 +50,7 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._lock)
-            raise BusyError("another `lifthead roll` is at work here") from None
+            raise RollBusyError("another `lifthead roll` is at work here") from None
 
     def __enter__(self) -> Self:
         return self
@@ -58,13 +58,13 @@
     def __exit__(self, *_: object) -> None:
         os.close(self._lock)
 
-    def read(self) -> Kept | None:
+    def read(self) -> SavedRoll | None:
         try:
-            return msgspec.json.decode(self.path.read_bytes(), type=Kept)
+            return msgspec.json.decode(self.path.read_bytes(), type=SavedRoll)
         except FileNotFoundError:
             return None
 
-    def write(self, kept: Kept) -> None:
+    def write(self, kept: SavedRoll) -> None:
         replace_file(self.path, msgspec.json.encode(kept), sync=True)
 
     def forget(self) -> None:
@@ -93,15 +93,15 @@
     return f"the restart's command ended with {process.returncode}: {told[0]}"
 
 
-class Lookout:
+class FleetObserver:
     """What the routers of a run directory tell of the fleet."""
 
     def __init__(self, run: Path) -> None:
         self._run = run
-        self.places: dict[str, set[tuple[str, str]]] = {}  # an engine's zone, cell and kind
+        self.labels: dict[str, set[tuple[str, str]]] = {}  # an engine's zone, cell and kind
         self._addresses: dict[str, str] = {}
 
-    async def facts(self, returning: Collection[str] = ()) -> Facts:
+    async def observe(self, returning: Collection[str] = ()) -> FleetStatus:
         """All routers' views together: ready where all say so, what is out at any of them. Whether engines
         take connections is looked at for those that return."""
         paths = admin.sockets(self._run)
@@ -109,25 +109,25 @@
             admin.ask_all(paths, {"ask": "state"}, ANSWER_WITHIN),
             admin.ask_all(paths, {"ask": "engines"}, ANSWER_WITHIN),
         )
-        found = Facts({}, {})
+        found = FleetStatus({}, {})
         unanswered = {name for name in paths if states[name] is None or views[name] is None}
         found.silent = {name for name in unanswered if admin.listens(paths[name])}
         for name, state in states.items():
             if state:
-                found.routers[name] = RouterSeen(state["ready"], state["reqs"], state["pid"])
+                found.routers[name] = RouterStatus(state["ready"], state["reqs"], state["pid"])
                 found.ended += state["lately"]["ended"]
                 found.missed += state["lately"]["missed"]
         for rows in views.values():
             for row in rows or ():
                 seen = found.engines.setdefault(
-                    row["name"], EngineSeen(row["role"], row["zone"], row["weight"], ready=True, open=False)
+                    row["name"], EngineStatus(row["role"], row["zone"], row["weight"], ready=True, open=False)
                 )
                 well = row["readiness"] == "ready"
                 seen.ready = seen.ready and well and not row["cold"] and not row["suspect"]
                 seen.open, seen.out = seen.open or well, seen.out + row["out"]
                 seen.drained = seen.drained or row["readiness"] == "draining"
                 self._addresses[row["name"]] = row["address"]
-                self.places[row["name"]] = {(key, str(row[key])) for key in ("zone", "cell", "kind")}
+                self.labels[row["name"]] = {(key, str(row[key])) for key in ("zone", "cell", "kind")}
         for name in returning:
             if name in found.engines:
                 found.engines[name].up = await self._up(name)
@@ -143,15 +143,15 @@
         return False
 
 
-class Rolling:
+class RollRunner:
     """Carries a roll out until it is over or has failed."""
 
-    def __init__(self, run: Path, place: Place, kept: Kept, say: Callable[[str], None],
+    def __init__(self, run: Path, place: RollFile, kept: SavedRoll, report: Callable[[str], None],
                  restart: Restart | None = None) -> None:  # fmt: skip
         self._run, self._place, self._kept = run, place, kept
-        self.say = say
+        self.report = report
         self._command = restart or self._shell
-        self._lookout = Lookout(run)
+        self._observer = FleetObserver(run)
         self._asks: list[tuple[str, dict[str, Any]]] = []  # a router, "" for all, and what it is asked
         self._tasks: set[asyncio.Task] = set()
         self.roll = Roll(self, kept.plan, kept.steps)
@@ -162,7 +162,7 @@
 
     # What the roll does.
 
-    def keep(self, steps: list[Step]) -> None:
+    def save(self, steps: list[Step]) -> None:
         self._kept.steps = steps
         self._place.write(self._kept)
 
@@ -174,7 +174,7 @@
             question = {"ask": "drain engines", "selector": step.name, "limit": limit, "force": True}
             self._asks.append(("", question))
 
-    def release(self, step: Step) -> None:
+    def undrain(self, step: Step) -> None:
         question = {"ask": "drain engines", "selector": step.name, "undo": True, "started_at": step.since}
         self._asks.append(("", question))
 
@@ -188,9 +188,9 @@
 
     async def run(self) -> str:
         """Until all is done, "", or it can't go on: why. Commands under way are waited for."""
-        while not self.roll.over and not self.roll.failed:
+        while not self.roll.finished and not self.roll.failed:
             returning = [step.name for step in self.roll.steps if step.stage == "returning"]
-            self.roll.look(await self._lookout.facts(returning), wall())
+            self.roll.advance(await self._observer.observe(returning), wall())
             asks, self._asks = self._asks, []
             for to, question in asks:
                 paths = admin.sockets(self._run)
@@ -199,6 +199,6 @@
             await asyncio.sleep(LOOK_EVERY)
         if self._tasks:
             await asyncio.wait(self._tasks)
-        if self.roll.over:
+        if self.roll.finished:
             self._place.forget()
         return self.roll.failed
--- a/lifthead/members/store.py
+++ b/lifthead/members/store.py
@@ -7,9 +7,9 @@
 
 from lifthead.deployment.fleet import EngineSpec
 from lifthead.ledger.disk import Disk
-from lifthead.members.listing import Listing, listing
+from lifthead.members.listing import Listing, make_listing
 
-KEPT = 10
+KEPT_GENERATIONS = 10
 
 
 def replace_file(path: Path, data: bytes, sync: bool = False) -> None:
@@ -23,7 +23,7 @@
     part.replace(path)
 
 
-class Store:
+class GenerationStore:
     """Numbered generations; the highest that can be read is the one in use."""
 
     def __init__(self, disk: Disk) -> None:
@@ -40,7 +40,7 @@
             engines = msgspec.json.decode(data, type=dict[str, EngineSpec])
         except (OSError, KeyError, msgspec.DecodeError):
             return None
-        return listing(engines)
+        return make_listing(engines)
 
     def latest(self) -> tuple[int, Listing | None]:
         """The newest generation that can be read, and its number; 0 if there is none."""
@@ -50,7 +50,7 @@
                 return number, found
         return 0, None
 
-    def put(self, taken: Listing) -> int:
+    def save(self, taken: Listing) -> int:
         """Keeps a listing as the next generation; it counts once its name is there, whole."""
         number = max(self.numbers(), default=0) + 1
         name = f"gen-{number:09}.json"
@@ -61,6 +61,6 @@
         self._disk.sync(name + ".part")
         self._disk.rename(name + ".part", name)
         self._disk.sync_names()
-        for old in self.numbers()[:-KEPT]:
+        for old in self.numbers()[:-KEPT_GENERATIONS]:
             self._disk.remove(f"gen-{old:09}.json")
         return number
--- a/lifthead/members/view.py
+++ b/lifthead/members/view.py
@@ -12,10 +12,10 @@
 
 from lifthead.engines.codec import ListedEngine
 
-CAUTION = {"ready": 0, "draining": 1, "gone": 2}
-FLAPS = 3  # times that an engine went away within ...
-FLAP_WINDOW = 60_000_000  # ... this time, after which it comes back only when it has been ...
-QUIET = 10_000_000  # ... ready in every source for so long
+CAUTION_RANK = {"ready": 0, "draining": 1, "gone": 2}
+FLAP_LIMIT = 3  # times that an engine went away within ...
+FLAP_WINDOW_US = 60_000_000  # ... this time, after which it comes back only when it has been ...
+FLAP_QUIET_US = 10_000_000  # ... ready in every source for so long
 
 
 @dataclass(slots=True)
@@ -32,14 +32,14 @@
 class Member:
     """One engine as it was last told, and how it has behaved."""
 
-    told: ListedEngine
+    reported: ListedEngine
     by: str  # the source whose word it was
     since: int
-    went: deque[int] = field(default_factory=deque)
+    departures: deque[int] = field(default_factory=deque)
     ready_since: int = 0  # in all sources; 0: not ready
 
 
-class View:
+class FleetView:
     """`primary` sources name the engines; others only speak of them. Without a primary one that has spoken,
     any source names them."""
 
@@ -48,7 +48,7 @@
         self._sources: dict[str, Source] = {}
         self.members: dict[str, Member] = {}
 
-    def tell(self, source: str, engines: list[ListedEngine], whole: bool, now: int) -> str:
+    def update(self, source: str, engines: list[ListedEngine], whole: bool, now: int) -> str:
         """A source speaks. The reason if its list is kept out: a whole list without any engine that is not
         gone, while the source had some, is a source that has failed."""
         found = self._sources.setdefault(source, Source())
@@ -76,15 +76,15 @@
         found = self._sources.get(source)
         return list(found.engines.values()) if found else []
 
-    def changes(self, now: int) -> list[ListedEngine]:
+    def take_changes(self, now: int) -> list[ListedEngine]:
         """What the module is to be told now; each engine once at most."""
         found = []
         for name in sorted(self._names() | set(self.members)):
             word, by = self._word(name)
             member = self.members.get(name)
             if word is None:
-                if member and member.told.readiness != "gone":
-                    found.append(self._tell(member, _as(member.told, "gone"), "no source names it", now))
+                if member and member.reported.readiness != "gone":
+                    found.append(self._tell(member, _as(member.reported, "gone"), "no source names it", now))
                 continue
             if member is None:
                 if word.readiness == "gone":
@@ -94,24 +94,28 @@
                 found.append(word)
                 continue
             member.ready_since = (member.ready_since or now) if word.readiness == "ready" else 0
-            if word.readiness == "ready" and member.told.readiness != "ready" and self._flaps(member, now):
-                word = _as(word, member.told.readiness)
-            if word != member.told:
+            if (
+                word.readiness == "ready"
+                and member.reported.readiness != "ready"
+                and self._flaps(member, now)
+            ):
+                word = _as(word, member.reported.readiness)
+            if word != member.reported:
                 found.append(self._tell(member, word, by, now))
         return found
 
     def _tell(self, member: Member, word: ListedEngine, by: str, now: int) -> ListedEngine:
-        if member.told.readiness == "ready" and word.readiness != "ready":
-            member.went.append(now)
-        if member.told.readiness != word.readiness:
+        if member.reported.readiness == "ready" and word.readiness != "ready":
+            member.departures.append(now)
+        if member.reported.readiness != word.readiness:
             member.by, member.since = by, now
-        member.told = word
+        member.reported = word
         return word
 
     def _flaps(self, member: Member, now: int) -> bool:
-        while member.went and member.went[0] < now - FLAP_WINDOW:
-            member.went.popleft()
-        return len(member.went) >= FLAPS and now - member.ready_since < QUIET
+        while member.departures and member.departures[0] < now - FLAP_WINDOW_US:
+            member.departures.popleft()
+        return len(member.departures) >= FLAP_LIMIT and now - member.ready_since < FLAP_QUIET_US
 
     def _names(self) -> set[str]:
         primary = self._sources.get(self._primary)
@@ -126,9 +130,11 @@
         words = []
         for source, said in self._sources.items():
             if name in said.engines:
-                words.append((CAUTION[said.engines[name].readiness], source, said.engines[name].readiness))
+                words.append(
+                    (CAUTION_RANK[said.engines[name].readiness], source, said.engines[name].readiness)
+                )
             elif said.whole:
-                words.append((CAUTION["gone"], source, "gone"))
+                words.append((CAUTION_RANK["gone"], source, "gone"))
         _, by, readiness = max(words)
         named = [said.engines[name] for said in self._sources.values() if name in said.engines]
         primary = self._sources.get(self._primary)
@@ -138,20 +144,20 @@
         word = msgspec.structs.replace(fields, started_at=started, readiness=readiness, drains_by=drains)
         return word, by
 
-    def rows(self, now: int) -> list[dict]:
+    def engine_rows(self, now: int) -> list[dict]:
         """For operators: each engine, who said so, and since when; each source and the age of its word."""
         return [
             {
                 "engine": name,
-                "readiness": member.told.readiness,
+                "readiness": member.reported.readiness,
                 "by": member.by,
                 "for_s": (now - member.since) / 1e6,
-                "flaps": len(member.went),
+                "flaps": len(member.departures),
             }
             for name, member in sorted(self.members.items())
         ]
 
-    def sources(self, now: int) -> list[dict]:
+    def source_rows(self, now: int) -> list[dict]:
         return [
             {
                 "source": name,
--- a/lifthead/members/watch.py
+++ b/lifthead/members/watch.py
@@ -22,7 +22,7 @@
         return None
 
 
-async def follow(path: Path, on_text: Callable[[str], None], log: Any) -> None:
+async def watch_file(path: Path, on_text: Callable[[str], None], log: Any) -> None:
     """Hands over the file's text at the start and after each change, once it holds still. Never returns."""
     last: bytes | None = None
     told_missing = False
--- a/lifthead/standins/day.py
+++ b/lifthead/standins/day.py
@@ -8,7 +8,7 @@
 
 from lifthead.deployment.fleet import Fleet, Trouble
 from lifthead.members.roll import Plan, Step
-from lifthead.members.rolling import Kept, Place, Rolling
+from lifthead.members.rolling import RollFile, RollRunner, SavedRoll
 from lifthead.standins import verify
 from lifthead.standins.crowd import Clients, Trend
 from lifthead.standins.record import Record, facts, now
@@ -133,8 +133,8 @@
         plan = Plan(
             engines, trouble.routers, floor=trouble.part, limit=int(trouble.limit), pause_over=trouble.times
         )
-        with Place(self.out) as place:
-            failed = await Rolling(self.out, place, Kept(plan, "", ""), say, restart).run()
+        with RollFile(self.out) as place:
+            failed = await RollRunner(self.out, place, SavedRoll(plan, "", ""), say, restart).run()
         self.stage.record.put("roll", said=failed or "over")
 
     async def _routers(self, trouble: Trouble) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,7 @@
 from test_fleet import Processes, lifthead
 
 from lifthead.engines.codec import ListedEngine
-from lifthead.members.last import OLDEST, WAIT, Last, due
+from lifthead.members.last_list import MAX_AGE_US, PUSH_WAIT_US, LastList, is_usable
 
 DAY = 86_400_000_000
 READY = [ListedEngine("w", "127.0.0.1:9", "a", 0, "writer")]
@@ -22,17 +22,17 @@
 @pytest.mark.parametrize(
     ("last", "waited", "listed", "expected"),
     [
-        (Last(READY, DAY), WAIT, False, True),
-        (Last(READY, DAY), WAIT - 1, False, False),
-        (Last(READY, DAY), WAIT, True, False),
-        (None, WAIT, False, False),
-        (Last(GONE, DAY), WAIT, False, False),
-        (Last(READY, 2 * DAY - OLDEST - 1), WAIT, False, False),
-        (Last(READY, 2 * DAY + 1), WAIT, False, False),
+        (LastList(READY, DAY), PUSH_WAIT_US, False, True),
+        (LastList(READY, DAY), PUSH_WAIT_US - 1, False, False),
+        (LastList(READY, DAY), PUSH_WAIT_US, True, False),
+        (None, PUSH_WAIT_US, False, False),
+        (LastList(GONE, DAY), PUSH_WAIT_US, False, False),
+        (LastList(READY, 2 * DAY - MAX_AGE_US - 1), PUSH_WAIT_US, False, False),
+        (LastList(READY, 2 * DAY + 1), PUSH_WAIT_US, False, False),
     ],
 )
 def test_when_a_router_goes_by_its_last_list(last, waited, listed, expected):
-    assert due(last, waited, listed, 2 * DAY) is expected
+    assert is_usable(last, waited, listed, 2 * DAY) is expected
 
 
 async def successor(stage, path):
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -22,12 +22,12 @@
 from lifthead.deployment.fleet import LedgerTerms
 from lifthead.ledger import book, entries, export, journal, keeper, reconcile
 from lifthead.ledger.book import Book, RefusedError
-from lifthead.ledger.disk import Directory
+from lifthead.ledger.disk import DiskDirectory
 from lifthead.ledger.entries import Closed, Correction, Usage, period_of
 from lifthead.ledger.journal import Journal
-from lifthead.ledger.keeper import landed, plan
-from lifthead.ledger.quota import LEAST, Budget, Quota
-from lifthead.ledger.reconcile import ConflictError, Merged
+from lifthead.ledger.keeper import plan_batch, record_delivery
+from lifthead.ledger.quota import MIN_SHARE, Quota, TokenBudget
+from lifthead.ledger.reconcile import ConflictError, MergedEntries
 from lifthead.standins.billing import Billing
 from lifthead.standins.record import lines
 from lifthead.standins.stage import Stage
@@ -36,7 +36,7 @@
 def used(number, period="2026-12", tenant="t", answer=10, **more):
     told = {
         "ended": "done",
-        "begun": True,
+        "first_token_sent": True,
         "prompt": 100,
         "kept": 0,
         "sent": answer,
@@ -45,7 +45,9 @@
         "resumes": 0,
         "read_anew": 0,
     } | more
-    return entries.usage(req=f"r-a-{number}", at=number, period=period, tenant=tenant, group="g", **told)
+    return entries.usage_entry(
+        request_id=f"r-a-{number}", at=number, period=period, tenant=tenant, group="g", **told
+    )
 
 
 def correction(name, period="2026-12", answer=-5, reverses="", reqs=0, prompt=0):
@@ -141,10 +143,10 @@
             found.append(group)
             acknowledged += group
             if step % 5 == 4:
-                planned, _, _ = plan(found, 1)
-                landed(found, planned, 1)
+                planned, _, _ = plan_batch(found, 1)
+                record_delivery(found, planned, 1)
             if step % 7 == 6:
-                found.tidy(force=True)
+                found.compact(force=True)
     except CrashError:
         pass
     return acknowledged, tried
@@ -155,7 +157,7 @@
 
 
 def test_a_crash_at_every_call_leaves_a_prefix_and_loses_nothing_acknowledged(monkeypatch):
-    monkeypatch.setattr(journal, "SEGMENT", 700)  # many segments
+    monkeypatch.setattr(journal, "SEGMENT_BYTES", 700)  # many segments
     whole = MemoryDisk()
     script_of(whole)
     assert whole.calls > 100
@@ -174,7 +176,7 @@
 
 def test_a_failed_write_does_not_count_and_the_next_ones_do(monkeypatch):
     """A full disk in mid-write, then room again: no crash, one entry refused, none doubled."""
-    monkeypatch.setattr(journal, "SEGMENT", 700)
+    monkeypatch.setattr(journal, "SEGMENT_BYTES", 700)
     whole = MemoryDisk()
     script_of(whole)
     for call in range(5, whole.calls + 1, 3):
@@ -185,7 +187,7 @@
             try:
                 found.append(group)
                 kept += group
-                found.tidy(force=step % 7 == 6)
+                found.compact(force=step % 7 == 6)
             except CrashError:
                 continue
         again = Journal(disk, "x")
@@ -195,13 +197,13 @@
 
 @pytest.mark.parametrize("what", ["flipped bit", "missing segment", "bad snapshot", "torn snapshot"])
 def test_damage_is_named_and_the_rest_is_read(monkeypatch, what):
-    monkeypatch.setattr(journal, "SEGMENT", 700)
+    monkeypatch.setattr(journal, "SEGMENT_BYTES", 700)
     disk = MemoryDisk()
     found = Journal(disk, "one")
     for number in range(30):
         found.append([used(number)])
     if what.endswith("snapshot"):
-        found.tidy(force=True)
+        found.compact(force=True)
     segments = [name for name in disk.names() if name.startswith("seg-")]
     snapshots = [name for name in disk.names() if name.startswith("snap-")]
     if what == "flipped bit":
@@ -273,27 +275,27 @@
             found.append([Closed(id=f"z{number}", at=number, period=period)])
             closed[period] = model[period]
         elif what == "export":
-            planned, data, manifest = plan(found, number)
+            planned, data, manifest = plan_batch(found, number)
             if planned:
                 take(data, manifest)
                 if value:  # else killed before it was noted: it is sent again
-                    landed(found, planned, number)
+                    record_delivery(found, planned, number)
         elif what == "kill":
             disk = disk.after_crash()
             found = Journal(disk, "one")
         elif what == "tidy":
-            found.tidy(force=True)
+            found.compact(force=True)
     answers = Counter()
     for (when, _, _), each in found.book.sums.items():
         answers[when] += each.answer
     assert +answers == +model and -answers == -model and not found.missing
     assert all(answers[when] == amount for when, amount in closed.items())
-    while (planned := plan(found, number))[0]:
+    while (planned := plan_batch(found, number))[0]:
         take(planned[1], planned[2])
-        landed(found, planned[0], number)
-    merged = Merged()
+        record_delivery(found, planned[0], number)
+    merged = MergedEntries()
     for file in files.values():
-        merged.add(export.entries_of(file)).add(export.entries_of(file))
+        merged.add(export.read_entries(file)).add(export.read_entries(file))
     total = Counter()
     for (when, _), (_, _, answer) in merged.sums().items():
         total[when] += answer
@@ -344,7 +346,7 @@
     ],
 )
 def test_what_is_billed_when(ended, begun, tokens):
-    assert entries.billed(ended, begun, 100, 7) == tokens
+    assert entries.billed_tokens(ended, begun, 100, 7) == tokens
 
 
 @pytest.mark.parametrize(
@@ -363,7 +365,7 @@
     ("period", "after"), [("2026-12", "2027-01"), ("2026-11", "2026-12"), ("2026-02-28", "2026-03-01")]
 )
 def test_the_following_period(period, after):
-    assert book.following(period) == after
+    assert book.next_period(period) == after
 
 
 @given(
@@ -372,40 +374,44 @@
     st.lists(st.tuples(st.integers(0, 5), st.integers(1, 300), st.floats(0, 1)), max_size=80),
 )
 def test_all_routers_together_never_use_more_than_the_budget(routers, tokens, reqs):
-    quotas = [Quota({"t": Budget(tokens, 0.8)}, routers) for _ in range(routers)]
+    quotas = [Quota({"t": TokenBudget(tokens, 0.8)}, routers) for _ in range(routers)]
     spent, out = 0, []
     for at, most, part in reqs:
         quota = quotas[at % routers]
-        if quota.take("t", most):
+        if quota.reserve("t", most):
             out.append((quota, most, round(most * part)))
         if len(out) > 3:
             quota, most, really = out.pop(0)
             quota.settle("t", most, really)
             spent += really
-        assert quota.take("other", 10**9) and quota.share("other") == 1.0
+        assert quota.reserve("other", 10**9) and quota.share("other") == 1.0
     spent += sum(really for _, _, really in out)
     assert spent <= tokens
 
 
-@pytest.mark.parametrize(("gone", "share"), [(0, 1.0), (800, 1.0), (900, 1 - (1 - LEAST) / 2), (1000, LEAST)])
+@pytest.mark.parametrize(
+    ("gone", "share"), [(0, 1.0), (800, 1.0), (900, 1 - (1 - MIN_SHARE) / 2), (1000, MIN_SHARE)]
+)
 def test_a_share_falls_from_the_soft_end_on(gone, share):
-    quota = Quota({"t": Budget(2000, 0.8)}, 2)
-    quota.period("2026-12", {"t": gone})
-    assert quota.share("t") == pytest.approx(share) and quota.left("t") == 1000 - gone
-    assert quota.take("t", 1000 - gone) and not quota.take("t", 1)
+    quota = Quota({"t": TokenBudget(2000, 0.8)}, 2)
+    quota.start_period("2026-12", {"t": gone})
+    assert quota.share("t") == pytest.approx(share) and quota.remaining("t") == 1000 - gone
+    assert quota.reserve("t", 1000 - gone) and not quota.reserve("t", 1)
 
 
 def test_exports_merge_in_any_order_and_differences_are_explained():
     one, two = [used(1), used(2, resumes=1)], [used(3), used(4, ended="left")]
     wrote = {"r-a-1.0": 10, "r-a-2.0": 4, "r-a-2.1": 9, "r-a-3.0": 7, "r-a-4.0": 10, "r-a-9.0": 5}
-    reports = [reconcile.compare(Merged().add(a).add(b).add(a), wrote) for a, b in ((one, two), (two, one))]
+    reports = [
+        reconcile.compare(MergedEntries().add(a).add(b).add(a), wrote) for a, b in ((one, two), (two, one))
+    ]
     assert reports[0] == reports[1] and reports[0].agree == {"t": 2}
-    whys = {each.req: each.why for each in reports[0].differ}
+    whys = {each.request_id: each.why for each in reports[0].differ}
     assert (
         set(whys) == {"r-a-2", "r-a-3", "r-a-9"} and "missing" in whys["r-a-3"] and "killed" in whys["r-a-9"]
     )
     with pytest.raises(ConflictError):
-        Merged().add(one).add([used(1, answer=11)])
+        MergedEntries().add(one).add([used(1, answer=11)])
 
 
 LEDGER = SCRIPT + "ledger(wait = True)\n"
@@ -419,7 +425,7 @@
 def test_an_answer_ends_only_once_its_entry_is_on_the_disk(tmp_path):
     async def play():
         async with Loopback(tmp_path, text=LEDGER) as loop:
-            write = loop._group.create_task(loop.daemon.keeper.write())
+            write = loop._group.create_task(loop.daemon.keeper.run_writer())
             disk = loop.daemon.keeper.journal._disk
             sync = disk.sync
             tries = [asyncio.create_task(raw(loop.address, http(body("x", stream=True)))) for _ in range(8)]
@@ -448,8 +454,8 @@
     """What waits is taken once the disk is free: the write before may have ended with it."""
 
     async def play():
-        found = Journal(Directory(tmp_path), "one")
-        clerk = keeper.Keeper(found, LedgerTerms(), Log(), lambda lost: None)
+        found = Journal(DiskDirectory(tmp_path), "one")
+        clerk = keeper.LedgerWriter(found, LedgerTerms(), Log(), lambda lost: None)
         begun, may_end, sync = threading.Event(), threading.Event(), found._disk.sync
 
         def slow(name):
@@ -458,10 +464,10 @@
             sync(name)
 
         found._disk.sync = slow
-        write = asyncio.create_task(clerk.write())
-        before = [clerk.put(used(number)) for number in range(3)]
+        write = asyncio.create_task(clerk.run_writer())
+        before = [clerk.append(used(number)) for number in range(3)]
         await asyncio.to_thread(begun.wait, 5)
-        late = clerk.put(used(3))
+        late = clerk.append(used(3))
         stop = asyncio.create_task(clerk.close())
         await asyncio.sleep(0.01)
         may_end.set()
@@ -470,7 +476,7 @@
         assert all(each.is_set() for each in (*before, late)) and not clerk.unbilled
 
     run(play())
-    assert [entry.id for entry in usages(Journal(Directory(tmp_path), "x"))] == [
+    assert [entry.id for entry in usages(Journal(DiskDirectory(tmp_path), "x"))] == [
         used(number).id for number in range(4)
     ]
 
@@ -482,7 +488,7 @@
         billing = Billing(tmp_path / "billing")
         server = await asyncio.start_server(billing.connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
-        found = Journal(Directory(tmp_path / "ledger"), "one")
+        found = Journal(DiskDirectory(tmp_path / "ledger"), "one")
         found.append([used(number) for number in range(4)])
         terms, sync, failed = LedgerTerms(export_to=url, export_every=Micros(10_000)), found._disk.sync, []
 
@@ -491,8 +497,8 @@
             raise OSError(errno.ENOSPC, "No space left on device")
 
         found._disk.sync = full
-        clerk = keeper.Keeper(found, terms, Log(), lambda lost: None)
-        export = asyncio.create_task(clerk.export())
+        clerk = keeper.LedgerWriter(found, terms, Log(), lambda lost: None)
+        export = asyncio.create_task(clerk.run_exports())
         async with asyncio.timeout(5):
             while len(failed) < 3:
                 await asyncio.sleep(0.01)
@@ -501,7 +507,7 @@
                 await asyncio.sleep(0.01)
         export.cancel()
         server.close()
-        assert not clerk.refuses
+        assert not clerk.refuses_requests
 
     run(play())
 
@@ -510,12 +516,12 @@
     async def play():
         text = LEDGER + 'budget("t", tokens = 200, soft = 0.5)\n'
         async with Loopback(tmp_path, text=text) as loop:
-            write = loop._group.create_task(loop.daemon.keeper.write())
+            write = loop._group.create_task(loop.daemon.keeper.run_writer())
             ends = [await raw(loop.address, http(body("x" * 200, max_tokens=20))) for _ in range(6)]
             status = [int(answer.split()[1]) for answer in ends]
             assert status[0] == 200 and status[-1] == 429 and b"insufficient_quota" in ends[-1]
             assert loop.daemon.biller.shares()["t"] < 1
-            assert loop.daemon.keeper.journal.book.used(loop.daemon.keeper.period(), "t") <= 200
+            assert loop.daemon.keeper.journal.book.tokens_used(loop.daemon.keeper.period(), "t") <= 200
             write.cancel()
 
     run(play())
@@ -523,23 +529,23 @@
 
 @pytest.mark.parametrize("kind", ["fails", "silent", "slow"])
 def test_batches_land_once_each_whatever_the_billing_system_does(tmp_path, kind, monkeypatch):
-    monkeypatch.setattr(book, "BATCH", 7)
+    monkeypatch.setattr(book, "MAX_BATCH_ENTRIES", 7)
     monkeypatch.setattr(export.deliver, "__defaults__", (0.2,))
 
     async def play():
         billing = Billing(tmp_path / "billing", **{kind: 0.3})
         server = await asyncio.start_server(billing.connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
-        found = Journal(Directory(tmp_path / "ledger"), "one")
+        found = Journal(DiskDirectory(tmp_path / "ledger"), "one")
         found.append([used(number) for number in range(40)])
-        clerk = keeper.Keeper(found, LedgerTerms(export_to=url), Log(), lambda lost: None)
+        clerk = keeper.LedgerWriter(found, LedgerTerms(export_to=url), Log(), lambda lost: None)
         for _ in range(200):
-            if not await clerk.export_one() and not found.book.planned:
+            if not await clerk.export_batch() and not found.book.planned:
                 break
         assert found.book.exported >= 40 and not found.book.planned
-        merged = Merged()
+        merged = MergedEntries()
         for path in (tmp_path / "billing").glob("*.parquet"):
-            merged.add(export.entries_of(path))
+            merged.add(export.read_entries(path))
         assert len(merged.entries) == 40
         said = [line["ev"] for line in lines(tmp_path / "billing" / "billing.jsonl")]
         assert "conflict" not in said and (kind != "fails" or "failed" in said)
@@ -556,7 +562,7 @@
 
 
 def test_the_commands(tmp_path):
-    found = Journal(Directory(tmp_path / "led"), "one")
+    found = Journal(DiskDirectory(tmp_path / "led"), "one")
     found.append([used(number, tenant="depot") for number in range(5)])
     led = ["--dir", tmp_path / "led"]
     shown = json.loads(lifthead("ledger", "show", *led, "--json").stdout)
@@ -668,9 +674,9 @@
         return seen
 
     seen = asyncio.run(asyncio.wait_for(play(), 90))
-    merged = Merged()
+    merged = MergedEntries()
     for found in (path / "billing").glob("*.parquet"):
-        merged.add(export.entries_of(found))
+        merged.add(export.read_entries(found))
     records = lines(path / "billing" / "billing.jsonl")
     assert not [line for line in records if line["ev"] == "conflict"]
     wrote = {
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -19,11 +19,11 @@
 from lifthead.daemon import serve
 from lifthead.deployment import script
 from lifthead.engines.codec import ListedEngine, ListNews
-from lifthead.members.last import Last
-from lifthead.members.listing import change, listing
-from lifthead.members.roster import Roster
-from lifthead.members.store import Store, replace_file
-from lifthead.members.view import CAUTION, FLAPS, QUIET, View
+from lifthead.members.last_list import LastList
+from lifthead.members.listing import compare_listings, make_listing
+from lifthead.members.registry import EngineRegistry
+from lifthead.members.store import GenerationStore, replace_file
+from lifthead.members.view import CAUTION_RANK, FLAP_LIMIT, FLAP_QUIET_US, FleetView
 
 S = 1_000_000
 KINDS = {"r": "reader", "w": "writer"}
@@ -43,7 +43,7 @@
 
 
 def roster():
-    made = Roster(FLEET, Store(MemoryDisk()))
+    made = EngineRegistry(FLEET, GenerationStore(MemoryDisk()))
     assert made.offer(text(*TEN), "f").taken and made.generation == 1
     return made
 
@@ -53,38 +53,42 @@
     [
         (text(*TEN)[:-9], "syntax error"),
         (text(*TEN[:9], total=10), "total(10) stands in it, but 9 engines do"),
-        ("", "no engine in it writes"),
-        (text("r1", "r2"), "no engine in it writes"),
+        ("", "it has no engine that can decode"),
+        (text("r1", "r2"), "it has no engine that can decode"),
         (text("w1", "w1"), "engine 'w1' stands twice".replace("engine", "enginespec")),
         (
             text("w1") + 'engine("w2", zone = "a", kind = "writer", address = "h:1")',
-            "field address: h:1 is w1's already",
+            "field address: h:1 is already used by w1",
         ),
         (text("w1") + 'engine("w2", zone = "a", kind = "writer")', "expected a port"),
         (text("w1") + 'engine("w2", zone = "a", kind = "none", address = "h:2")', "is no kind()"),
         (text("w1") + "router('x', zone = 'a')", "name 'router' is not defined"),
         (text("w1") + "x = [0 for i in range(100000000)]", "too"),
-        (text(*(f"w{n}" for n in range(6, 12))), "it takes away all 6 writers in use"),
-        (text(*TEN[4:]), "it takes away 4 of 10 engines"),
+        (text(*(f"w{n}" for n in range(6, 12))), "it removes all 6 decode engines in use"),
+        (text(*TEN[4:]), "it removes 4 of 10 engines"),
     ],
 )
 def test_a_file_that_is_not_taken_leaves_all_as_it_was(said, why):
     made = roster()
-    before = made.now
+    before = made.current
     outcome = made.offer(said, "f")
     assert not outcome.taken and why in outcome.why and "\n" not in outcome.why
-    assert made.now is before and made.generation == 1 and made.state()["rejected"]
+    assert made.current is before and made.generation == 1 and made.state()["rejected"]
 
 
 def test_what_is_held_back_is_taken_once_it_is_confirmed():
     made = roster()
     outcome = made.offer(text(*TEN[4:]), "f")
-    assert made.held and not made.confirm("another").taken
-    assert made.confirm(outcome.digest).taken and set(made.now.engines) == set(TEN[4:]) and made.held is None
+    assert made.pending and not made.confirm("another").taken
+    assert (
+        made.confirm(outcome.digest).taken
+        and set(made.current.engines) == set(TEN[4:])
+        and made.pending is None
+    )
     assert made.offer(text(*TEN), "f").taken
     again = made.offer(text(*TEN[4:]), "f", confirmed=outcome.digest)
     assert again.taken and again.generation == 4
-    assert made.rollback().taken and set(made.now.engines) == set(TEN)
+    assert made.rollback().taken and set(made.current.engines) == set(TEN)
     assert made.rollback(1).taken and not made.rollback(99).taken
 
 
@@ -98,7 +102,7 @@
 def test_no_text_breaks_the_roster(said):
     made = roster()
     made.offer(said, "f")
-    assert set(made.now.engines) == set(TEN)
+    assert set(made.current.engines) == set(TEN)
 
 
 @given(st.integers(0, 600))
@@ -106,7 +110,7 @@
     whole = text(*TEN, total=10).replace("total(10)\n", "")
     made, said = roster(), "total(10)\n" + whole
     made.offer(said[: min(cut, len(said) - 2)], "f")
-    assert set(made.now.engines) == set(TEN)
+    assert set(made.current.engines) == set(TEN)
 
 
 def test_a_crash_at_every_call_of_the_store_leaves_a_generation_that_was_taken():
@@ -114,25 +118,25 @@
         disk = MemoryDisk(fail_at=call, seed=call)
         good = []
         try:
-            store = Store(disk)
+            store = GenerationStore(disk)
             for many in range(5, 11):
-                store.put(listing(script.engines(text(*TEN[-many:]), "f")))
+                store.save(make_listing(script.engines(text(*TEN[-many:]), "f")))
                 good.append(many)
         except CrashError:
             pass
-        number, found = Store(disk.after_crash()).latest()
+        number, found = GenerationStore(disk.after_crash()).latest()
         if good:
             assert found and len(found.engines) >= good[-1] and number >= len(good)
 
 
 def test_changes_name_the_fields():
-    one = listing(script.engines(text("w1", "w2"), "f"))
-    two = listing(
+    one = make_listing(script.engines(text("w1", "w2"), "f"))
+    two = make_listing(
         script.engines(
             text("w1", "w2").replace('zone = "a"', 'zone = "b"', 1) + text("r9").replace("h:1", "h:9"), "f"
         )
     )
-    found = change(one, two, FLEET)
+    found = compare_listings(one, two, FLEET)
     assert (found.added, found.removed, found.changed) == (["r9"], [], {"w1": ["zone"]})
 
 
@@ -152,38 +156,38 @@
     ],
 )
 def test_the_more_cautious_word_holds_and_the_file_names_the_engines(file, push, told):
-    view = View()
-    view.tell("file", [said("other"), *([said("w", file)] if file else [])], True, 1)
-    view.tell("push", [said("other"), *([said("w", push)] if push else [])], True, 2)
-    found = {engine.name: engine.readiness for engine in view.changes(3)}
+    view = FleetView()
+    view.update("file", [said("other"), *([said("w", file)] if file else [])], True, 1)
+    view.update("push", [said("other"), *([said("w", push)] if push else [])], True, 2)
+    found = {engine.name: engine.readiness for engine in view.take_changes(3)}
     assert found.get("w") == (told if told != "gone" else None)
 
 
 def test_an_empty_list_is_kept_out_and_a_lost_source_leaves_its_word():
-    view = View()
-    view.tell("push", [said("a"), said("b")], True, 1)
-    assert len(view.changes(1)) == 2
-    assert view.tell("push", [], True, 2) and view.changes(2) == []
-    assert view.sources(3 * S)[0]["kept_out"] and view.sources(3 * S)[0]["age_s"] > 2
-    assert view.tell("push", [said("a", "gone"), said("b", "gone")], True, 3) == ""
-    assert [engine.readiness for engine in view.changes(4)] == ["gone", "gone"]
+    view = FleetView()
+    view.update("push", [said("a"), said("b")], True, 1)
+    assert len(view.take_changes(1)) == 2
+    assert view.update("push", [], True, 2) and view.take_changes(2) == []
+    assert view.source_rows(3 * S)[0]["kept_out"] and view.source_rows(3 * S)[0]["age_s"] > 2
+    assert view.update("push", [said("a", "gone"), said("b", "gone")], True, 3) == ""
+    assert [engine.readiness for engine in view.take_changes(4)] == ["gone", "gone"]
 
 
 def test_flapping_is_damped_but_what_goes_away_goes_at_once():
-    view, now = View(), 0
-    view.tell("push", [said("a")], True, now)
-    view.changes(now)
-    for _ in range(FLAPS):
+    view, now = FleetView(), 0
+    view.update("push", [said("a")], True, now)
+    view.take_changes(now)
+    for _ in range(FLAP_LIMIT):
         now += S
-        view.tell("push", [said("a", "draining")], False, now)
-        assert [engine.readiness for engine in view.changes(now)] == ["draining"]
+        view.update("push", [said("a", "draining")], False, now)
+        assert [engine.readiness for engine in view.take_changes(now)] == ["draining"]
         now += S
-        view.tell("push", [said("a")], False, now)
-        told = view.changes(now)
+        view.update("push", [said("a")], False, now)
+        told = view.take_changes(now)
     assert told == []
-    assert view.changes(now + QUIET - 1) == [] and [e.readiness for e in view.changes(now + QUIET)] == [
-        "ready"
-    ]
+    assert view.take_changes(now + FLAP_QUIET_US - 1) == [] and [
+        e.readiness for e in view.take_changes(now + FLAP_QUIET_US)
+    ] == ["ready"]
 
 
 WORDS = st.lists(
@@ -202,22 +206,24 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(WORDS)
 def test_any_order_of_sources_never_gives_work_to_an_engine_that_one_calls_away(words):
-    view, now, mirror, latest, wholes = View(), 0, {}, {}, set()
+    view, now, mirror, latest, wholes = FleetView(), 0, {}, {}, set()
     for source, whole, names, passed in words:
         now += passed
-        kept_out = view.tell(source, [said(name, readiness) for name, readiness in names.items()], whole, now)
+        kept_out = view.update(
+            source, [said(name, readiness) for name, readiness in names.items()], whole, now
+        )
         if not kept_out:
             latest[source] = dict(names) if whole else latest.get(source, {}) | names
             wholes |= {source} if whole else set()
-        told = view.changes(now)
+        told = view.take_changes(now)
         assert len({engine.name for engine in told}) == len(told)
         mirror |= {engine.name: engine.readiness for engine in told}
         for name, readiness in mirror.items():
             spoken = [each[name] for each in latest.values() if name in each]
             spoken += ["gone" for source, each in latest.items() if source in wholes and name not in each]
-            worst = max(map(CAUTION.get, spoken), default=2)
-            assert CAUTION[readiness] >= worst, (name, readiness, spoken)
-        assert view.changes(now) == []
+            worst = max(map(CAUTION_RANK.get, spoken), default=2)
+            assert CAUTION_RANK[readiness] >= worst, (name, readiness, spoken)
+        assert view.take_changes(now) == []
 
 
 async def eventually(true, within=5.0):
@@ -286,7 +292,7 @@
                     await eventually(lambda: _quiet(state))
                 os.remove(watched)
                 await asyncio.sleep(0.3)
-                put(lines("rd", "wr2"))  # takes away every writer in use
+                put(lines("rd", "wr2"))  # removes every decode engine in use
                 held = await eventually(lambda: _file(state, "held"))
                 assert (await state())["file"]["generation"] == 2
                 done = await asyncio.to_thread(lifthead, "apply", "--confirm", held, "--run", tmp_path)
@@ -383,7 +389,7 @@
                 said = daemon._drain_engines({"selector": "wr"})
             assert not said["taken"] and "No space" in said["why"]
             daemon.on_push(ListNews(True, of_loopback(loop)))
-            assert daemon.host.endpoints["wr"].readiness == "ready" and not daemon.drains.asked
+            assert daemon.host.endpoints["wr"].readiness == "ready" and not daemon.drains.deadlines
             assert daemon._drain_engines({"selector": "wr"})["taken"]
             assert daemon.host.endpoints["wr"].readiness == "draining"
 
@@ -421,7 +427,7 @@
             daemon.on_push(ListNews(True, of_loopback(loop)))
             loop.beats.append(loop._group.create_task(daemon.keep_list()))
             await loop.until(lambda: daemon._list_file.exists())
-            kept = msgspec.json.decode(daemon._list_file.read_bytes(), type=Last)
+            kept = msgspec.json.decode(daemon._list_file.read_bytes(), type=LastList)
             assert {engine.name for engine in kept.engines} == {"rd", "wr"}
 
     run(play())
@@ -436,5 +442,5 @@
         (tmp_path / name).write_text(said_)
     (tmp_path / "fleet.star").write_text(SCRIPT)
     done = lifthead("diff", tmp_path / "then", tmp_path / "now", tmp_path / "fleet.star", "--json")
-    assert done.returncode == 1 and json.loads(done.stdout)["held"] == "it takes away 4 of 10 engines"
+    assert done.returncode == 1 and json.loads(done.stdout)["held"] == "it removes 4 of 10 engines"
     assert lifthead("diff", tmp_path / "now", tmp_path / "now", tmp_path / "fleet.star").returncode == 0
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -11,7 +11,7 @@
 from loopback import SCRIPT, body, http, raw
 from test_fleet import Processes, lifthead
 
-from lifthead.members.roll import EngineSeen, Facts, Plan, Roll, RouterSeen, refusal
+from lifthead.members.roll import EngineStatus, FleetStatus, Plan, Roll, RouterStatus, refusal
 
 SECOND = 1_000_000
 
@@ -21,8 +21,8 @@
 
     def __init__(self, plan, engines, routers, chance, kills=0.0):
         self.chance, self.kills, self.plan = chance, kills, plan
-        self.seen = {name: EngineSeen(*each) for name, each in engines.items()}
-        self.routers = {name: RouterSeen(life=1) for name in routers}
+        self.seen = {name: EngineStatus(*each) for name, each in engines.items()}
+        self.routers = {name: RouterStatus(life=1) for name in routers}
         self.cold, self.starts, self.now, self.kept, self.said = {}, {}, 0, None, []
         self.commands, self.missed, self.least = [], 0, 1.0
         self.silent = set()  # routers that run and do not answer
@@ -35,11 +35,11 @@
         if self.chance.random() < self.kills:
             raise self.KilledError
 
-    def keep(self, steps):
+    def save(self, steps):
         self.kept = copy.deepcopy(steps)
         self._may_die()
 
-    def say(self, text):
+    def report(self, text):
         self.said.append(text)
 
     def drain(self, step):
@@ -57,7 +57,7 @@
         self.starts[step.name] = self.starts.get(step.name, 0) + 1
         self.commands.append((self.now + self.chance.randint(1, 3) * SECOND, step))
 
-    def release(self, step):
+    def undrain(self, step):
         self._may_die()
         seen = self.seen[step.name]
         assert seen.up
@@ -80,7 +80,7 @@
             if at <= self.now:
                 self.commands.remove((at, step))
                 if step.router:
-                    self.routers[step.name] = RouterSeen(life=self.routers[step.name].life + 1)
+                    self.routers[step.name] = RouterStatus(life=self.routers[step.name].life + 1)
                 else:
                     self.seen[step.name].up = True
                 self.roll.on_restarted(step.name, "", self.now)
@@ -90,12 +90,12 @@
         for _ in range(turns):
             try:
                 self.pass_time()
-                facts = Facts(self.seen, self.routers, 100, self.missed, self.silent)
-                self.roll.look(facts, self.now)
+                fleet = FleetStatus(self.seen, self.routers, 100, self.missed, self.silent)
+                self.roll.advance(fleet, self.now)
             except self.KilledError:
                 self.commands.clear()  # its commands die with it
                 self.roll = Roll(self, self.plan, copy.deepcopy(self.kept))
-            if self.roll.over or self.roll.failed:
+            if self.roll.finished or self.roll.failed:
                 return
 
 
@@ -114,7 +114,7 @@
     plan = Plan(list(ZONES), ["p", "q"], floor=0.6, at_once=at_once, limit=chance.choice([0, 5 * SECOND]))
     world = World(plan, ZONES, ["p", "q", "s"], chance, kills=chance.choice([0.0, 0.05, 0.2]))
     world.play(4000)
-    assert world.roll.over and set(world.starts) == {*ZONES, "p", "q"}
+    assert world.roll.finished and set(world.starts) == {*ZONES, "p", "q"}
     assert world.least >= 0.6
     assert all(seen.ready and not seen.drained for seen in world.seen.values())
     if not world.kills:
@@ -131,7 +131,7 @@
     assert not world.starts
     world.missed = 2
     world.play(400)
-    assert world.roll.over
+    assert world.roll.finished
 
 
 @pytest.mark.parametrize(
@@ -158,9 +158,9 @@
     world.silent = {"q"}
     world.play(200)
     assert world.kept[0].stage == stage and "router q does not answer" in world.roll.paused
-    world.routers["q"], world.silent = RouterSeen(life=1), set()
+    world.routers["q"], world.silent = RouterStatus(life=1), set()
     world.play(200)
-    assert world.roll.over
+    assert world.roll.finished
 
 
 def test_an_overdue_engine_is_restarted_though_a_router_does_not_answer():
@@ -179,7 +179,7 @@
     assert not world.starts and "floor is 0.7" in world.roll.paused
     world.seen["wb0"].ready = world.seen["wb1"].ready = True
     world.play(200)
-    assert world.roll.over
+    assert world.roll.finished
 
 
 @pytest.mark.parametrize(
@@ -193,8 +193,8 @@
     ],
 )
 def test_what_can_not_be_done_is_said_before_it_begins(plan, word):
-    facts = Facts({name: EngineSeen(*each) for name, each in ZONES.items()}, {"p": RouterSeen()})
-    assert word in refusal(plan, facts) and bool(word) == bool(refusal(plan, facts))
+    fleet = FleetStatus({name: EngineStatus(*each) for name, each in ZONES.items()}, {"p": RouterStatus()})
+    assert word in refusal(plan, fleet) and bool(word) == bool(refusal(plan, fleet))
 
 
 def test_the_command_survives_its_own_kill_on_real_processes(tmp_path):
--- a/tests/test_weight.py
+++ b/tests/test_weight.py
@@ -4,7 +4,16 @@
 
 import pytest
 
-from lifthead.members.weight import LEAST, LEAST_PUSHED, RISE_AFTER, SPAN, STEP, Lately, Weight, wish
+from lifthead.members.weight import (
+    MIN_PERCENT,
+    MIN_PERCENT_FOR_REJECTIONS,
+    RISE_INTERVAL_US,
+    RISE_STEP,
+    WINDOW_US,
+    AdvertisedWeight,
+    RecentAnswers,
+    target_weight,
+)
 
 
 @pytest.mark.parametrize(
@@ -13,36 +22,37 @@
         (0.0, 0, 0, 0, 100),
         (0.5, 20_000, 100, 10, 100),
         (0.75, 0, 100, 0, 55),
-        (1.0, 0, 100, 0, LEAST),
-        (0.0, 400_000, 100, 0, LEAST),
-        (0.0, 0, 100, 100, LEAST_PUSHED),  # all routers push back together: it is no router's own trouble
+        (1.0, 0, 100, 0, MIN_PERCENT),
+        (0.0, 400_000, 100, 0, MIN_PERCENT),
+        # All routers reject at the same time: the cause isn't this router alone.
+        (0.0, 0, 100, 100, MIN_PERCENT_FOR_REJECTIONS),
         (0.0, 0, 19, 19, 100),  # too few to say anything
     ],
 )
 def test_the_wish_follows_what_is_the_routers_own(full, lag, ended, pushed_back, percent):
-    assert wish(full, lag, ended, pushed_back) == percent
+    assert target_weight(full, lag, ended, pushed_back) == percent
 
 
 def test_the_word_falls_at_once_rises_in_steps_and_ignores_small_changes():
-    weight, now = Weight(random.Random(1)), 0
-    assert weight.turn(now, 90) == 100
-    assert weight.turn(now, 40) == 40
-    assert weight.turn(now, 100) == 40
+    weight, now = AdvertisedWeight(random.Random(1)), 0
+    assert weight.update(now, 90) == 100
+    assert weight.update(now, 40) == 40
+    assert weight.update(now, 100) == 40
     said = []
     while weight.percent < 100:
         now += 250_000
-        said.append(weight.turn(now, 100))
+        said.append(weight.update(now, 100))
     assert sorted(set(said)) == [40, 50, 60, 70, 80, 90, 100]
-    steps = (100 - 40) // STEP
-    assert steps * RISE_AFTER[0] <= now <= steps * (RISE_AFTER[1] + 250_000)
+    steps = (100 - 40) // RISE_STEP
+    assert steps * RISE_INTERVAL_US[0] <= now <= steps * (RISE_INTERVAL_US[1] + 250_000)
 
 
 def test_answers_are_counted_while_they_are_recent():
-    lately = Lately()
+    lately = RecentAnswers()
     for second in range(8):
         lately.add(second * 1_000_000, pushed_back=second == 7, missed=second % 2 == 1)
     assert lately.counts(7_000_000) == (6, 1, 3)
-    assert lately.counts(7_000_000 + SPAN + 1) == (0, 0, 0)
+    assert lately.counts(7_000_000 + WINDOW_US + 1) == (0, 0, 0)
 
 
 def swings(turn, routers, seconds):
@@ -62,8 +72,8 @@
 
 
 def test_a_hundred_routers_do_not_swing_together():
-    words = [Weight(random.Random(n)) for n in range(100)]
-    steady, share = swings(lambda n, at, full: words[n].turn(at, wish(full, 0, 0, 0)), 100, 120)
-    bare, _ = swings(lambda n, at, full: wish(full, 0, 0, 0), 100, 120)
+    words = [AdvertisedWeight(random.Random(n)) for n in range(100)]
+    steady, share = swings(lambda n, at, full: words[n].update(at, target_weight(full, 0, 0, 0)), 100, 120)
+    bare, _ = swings(lambda n, at, full: target_weight(full, 0, 0, 0), 100, 120)
     assert steady < bare / 8 and steady < 0.05
     assert share < 0.48  # the slow half does get less, though all are in trouble
