--- a/lifthead/members/handover.py
+++ b/lifthead/members/handover.py
@@ -1,8 +1,9 @@
-"""A new process takes a running router's listening sockets, so that no connection is refused meanwhile.
+"""A new router process takes over the listening sockets of a running one, so that no connection is refused.
 
-Over a Unix socket NAME.hand: the old one sends its sockets, the new one gets ready and says `go`, the old one
-stops accepting and says `done`; connections that come in between wait in the sockets' queues. A new one that
-dies before `go` changes nothing; an old one that dies after it neither."""
+Over the Unix socket NAME.hand the old process sends its listening sockets. The new one gets ready and sends
+`go`; the old one stops accepting and answers `done`. Connections that arrive in between wait in the sockets'
+accept queues. If the new process dies before `go`, nothing changes; if the old one dies after `go`, the new
+one serves."""
 
 import asyncio
 import contextlib
@@ -13,51 +14,52 @@
 from typing import Any
 
 GO, DONE, HELLO = b"go\n", b"done", b"sockets\n"
-WITHIN = 30.0  # seconds from the sockets to `go`
+HANDOVER_TIMEOUT_S = 30.0  # from sending the sockets to `go`
 
 
 class Predecessor:
-    """The router whose sockets were taken. Blocking: before anything is served."""
+    """The running router whose sockets are taken over. Its calls block: nothing is served yet."""
 
     def __init__(self, path: Path, count: int) -> None:
-        """OSError if no router is there, or it hands nothing over."""
-        self._line = socket.socket(socket.AF_UNIX)
-        self._line.settimeout(WITHIN)
+        """Raises OSError if no router listens there, or if it hands over no sockets."""
+        self._connection = socket.socket(socket.AF_UNIX)
+        self._connection.settimeout(HANDOVER_TIMEOUT_S)
         try:
-            self._line.connect(str(path))
+            self._connection.connect(str(path))
         except OSError as problem:
             raise OSError(f"{path}: no router hands its sockets over there: {problem}") from None
-        hello, numbers, _, _ = socket.recv_fds(self._line, len(HELLO), count)
-        self.sockets = [socket.socket(fileno=number) for number in numbers]
-        if hello != HELLO or len(numbers) != count:
-            raise OSError(f"{path}: expected {count} sockets, got {len(numbers)}")
+        hello, descriptors, _, _ = socket.recv_fds(self._connection, len(HELLO), count)
+        self.sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
+        if hello != HELLO or len(descriptors) != count:
+            raise OSError(f"{path}: expected {count} sockets, got {len(descriptors)}")
 
     def take_over(self) -> None:
-        """Has it stop accepting; returns once it has, or is dead."""
+        """Makes the predecessor stop accepting; returns once it has stopped or is dead."""
         with contextlib.suppress(OSError):
-            self._line.sendall(GO)
-            self._line.recv(len(DONE))
-        self._line.close()
+            self._connection.sendall(GO)
+            self._connection.recv(len(DONE))
+        self._connection.close()
 
 
-async def offer_sockets(path: Path, sockets: Sequence[Any], go: Callable[[], None]) -> None:
-    """Hands the sockets to whoever asks, one at a time; calls `go` and returns once one is ready to serve."""
+async def offer_sockets(path: Path, sockets: Sequence[Any], on_taken: Callable[[], None]) -> None:
+    """Sends the sockets to each process that connects, one at a time. Once one of them is ready to serve,
+    calls `on_taken` and returns."""
     loop = asyncio.get_running_loop()
     path.unlink(missing_ok=True)
-    with socket.socket(socket.AF_UNIX) as desk:
-        before = os.umask(0o077)
-        desk.bind(str(path))
-        os.umask(before)
-        desk.listen(4)
-        desk.setblocking(False)
+    with socket.socket(socket.AF_UNIX) as listener:
+        old_umask = os.umask(0o077)
+        listener.bind(str(path))
+        os.umask(old_umask)
+        listener.listen(4)
+        listener.setblocking(False)
         while True:
-            line, _ = await loop.sock_accept(desk)
-            with line, contextlib.suppress(OSError, TimeoutError):
-                async with asyncio.timeout(WITHIN):
-                    socket.send_fds(line, [HELLO], [each.fileno() for each in sockets])
-                    said = await loop.sock_recv(line, len(GO))
-                if said == GO:
+            connection, _ = await loop.sock_accept(listener)
+            with connection, contextlib.suppress(OSError, TimeoutError):
+                async with asyncio.timeout(HANDOVER_TIMEOUT_S):
+                    socket.send_fds(connection, [HELLO], [each.fileno() for each in sockets])
+                    answer = await loop.sock_recv(connection, len(GO))
+                if answer == GO:
                     path.unlink(missing_ok=True)
-                    go()
-                    await loop.sock_sendall(line, DONE)
+                    on_taken()
+                    await loop.sock_sendall(connection, DONE)
                     return
--- a/lifthead/members/registry.py
+++ b/lifthead/members/registry.py
@@ -1,4 +1,5 @@
-"""The listing in use, what is offered in its place, and the way back. Takes a file whole or not at all."""
+"""The engine list in use, the one that waits for confirmation, and the rollback to earlier ones. A file is
+applied as a whole or not at all."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,69 +12,74 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of an offered file."""
+    """The result of offering a file, confirming one, or rolling back."""
 
     taken: bool
-    why: str  # "" if it was taken
+    why: str  # why it was not applied, "" if it was
     digest: str
     generation: int
     change: dict[str, Any]
 
 
 class EngineRegistry:
-    """Starts from the last good generation, so that a restart does not begin with nothing."""
+    """Starts from the last stored generation, so that a restarted router knows its engines at once."""
 
     def __init__(self, fleet: Fleet, store: GenerationStore) -> None:
         self._fleet, self._store = fleet, store
-        self.generation, found = store.latest()
-        self.current = found or make_listing({})
-        self.pending: Listing | None = None
+        self.generation, latest = store.latest()
+        self.current = latest or make_listing({})
+        self.pending: Listing | None = None  # waits for an operator's confirmation
         self.pending_reason = ""
-        self.rejection = ""  # why the latest file was not taken, "" if it was
+        self.rejection = ""  # why the latest file was not applied, "" if it was
 
     def offer(self, text: str, name: str, confirmed: str = "") -> Outcome:
-        """A file's text. A faulty one leaves all as it was; one that takes too much away waits until it is
-        offered with its digest as `confirmed`, or `confirm` is called."""
+        """Applies a file's text. A faulty file changes nothing. One that removes too many engines waits until
+        it is offered again with its digest as `confirmed`, or until `confirm` is called."""
         try:
-            then = make_listing(script.engines(text, name))
+            proposed = make_listing(script.engines(text, name))
         except script.ScriptError as problem:
             self.rejection = str(problem)
             return Outcome(False, self.rejection, "", self.generation, {})
-        if then.digest == self.current.digest:
+        if proposed.digest == self.current.digest:
             self.pending, self.pending_reason, self.rejection = None, "", ""
-            return Outcome(True, "", then.digest, self.generation, {})
-        found = compare_listings(self.current, then, self._fleet)
-        if found.refusal:
-            self.rejection = f"{name}: {found.refusal}"
-            return Outcome(False, self.rejection, then.digest, self.generation, found.as_dict())
-        if found.confirmation_reason and confirmed != then.digest:
-            self.pending, self.pending_reason = then, found.confirmation_reason
-            self.rejection = f"{name}: {found.confirmation_reason}: confirm digest {then.digest}"
-            return Outcome(False, self.rejection, then.digest, self.generation, found.as_dict())
-        return self._accept(then, found.as_dict())
+            return Outcome(True, "", proposed.digest, self.generation, {})
+        change = compare_listings(self.current, proposed, self._fleet)
+        if change.refusal:
+            self.rejection = f"{name}: {change.refusal}"
+            return Outcome(False, self.rejection, proposed.digest, self.generation, change.as_dict())
+        if change.confirmation_reason and confirmed != proposed.digest:
+            self.pending, self.pending_reason = proposed, change.confirmation_reason
+            self.rejection = f"{name}: {change.confirmation_reason}: confirm digest {proposed.digest}"
+            return Outcome(False, self.rejection, proposed.digest, self.generation, change.as_dict())
+        return self._accept(proposed, change.as_dict())
 
     def confirm(self, digest: str) -> Outcome:
-        """Takes what is held back, if it is the one that was meant."""
+        """Applies the pending listing if it has this digest."""
         if self.pending is None or self.pending.digest != digest:
-            held = self.pending.digest if self.pending else "none"
+            pending = self.pending.digest if self.pending else "none"
             return Outcome(
-                False, f"digest {digest!r} is not held back, expected {held}", digest, self.generation, {}
+                False,
+                f"digest {digest!r} does not wait for confirmation, expected {pending}",
+                digest,
+                self.generation,
+                {},
             )
         return self._accept(self.pending, compare_listings(self.current, self.pending, self._fleet).as_dict())
 
     def rollback(self, to: int = 0) -> Outcome:
-        """Back to a generation, else to the one before this; it becomes the newest one."""
+        """Applies an earlier generation again, by default the one before the current one. It is stored as the
+        newest generation."""
         number = to or max((each for each in self._store.numbers() if each < self.generation), default=0)
-        then = self._store.read(number) if number else None
-        if then is None:
+        earlier = self._store.read(number) if number else None
+        if earlier is None:
             known = self._store.numbers()
             return Outcome(False, f"no generation {number}, expected one of {known}", "", self.generation, {})
-        return self._accept(then, compare_listings(self.current, then, self._fleet).as_dict())
+        return self._accept(earlier, compare_listings(self.current, earlier, self._fleet).as_dict())
 
-    def _accept(self, then: Listing, plain: dict[str, Any]) -> Outcome:
-        self.generation = self._store.save(then)  # on the disk first: what is told survives a restart
-        self.current, self.pending, self.pending_reason, self.rejection = then, None, "", ""
-        return Outcome(True, "", then.digest, self.generation, plain)
+    def _accept(self, accepted: Listing, change: dict[str, Any]) -> Outcome:
+        self.generation = self._store.save(accepted)  # stored before it is reported, to survive a restart
+        self.current, self.pending, self.pending_reason, self.rejection = accepted, None, "", ""
+        return Outcome(True, "", accepted.digest, self.generation, change)
 
     def state(self) -> dict[str, Any]:
         return {
--- a/lifthead/members/store.py
+++ b/lifthead/members/store.py
@@ -1,4 +1,5 @@
-"""Generations of a file's listing on a disk, so that a restart begins with the last good one."""
+"""Stores engine lists as numbered generations on a disk, so that a restart begins with the last one
+applied."""
 
 import os
 from pathlib import Path
@@ -13,18 +14,18 @@
 
 
 def replace_file(path: Path, data: bytes, sync: bool = False) -> None:
-    """Whole or not at all, as readers see it; with `sync` also after a loss of power."""
-    part = path.with_suffix(".part")
-    with open(part, "wb") as file:
+    """Replaces a file atomically for readers; with `sync` the content also survives a loss of power."""
+    partial = path.with_suffix(".part")
+    with open(partial, "wb") as file:
         file.write(data)
         if sync:
             file.flush()
             os.fsync(file.fileno())
-    part.replace(path)
+    partial.replace(path)
 
 
 class GenerationStore:
-    """Numbered generations; the highest that can be read is the one in use."""
+    """Numbered generations; the highest one that can be read is in use."""
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
@@ -34,7 +35,7 @@
         return sorted(int(name[4:-5]) for name in names)
 
     def read(self, number: int) -> Listing | None:
-        """A generation; None if there is none or it can't be read."""
+        """A generation; None if it does not exist or can't be read."""
         try:
             data = self._disk.read(f"gen-{number:09}.json")
             engines = msgspec.json.decode(data, type=dict[str, EngineSpec])
@@ -43,21 +44,22 @@
         return make_listing(engines)
 
     def latest(self) -> tuple[int, Listing | None]:
-        """The newest generation that can be read, and its number; 0 if there is none."""
+        """The number and listing of the newest generation that can be read; 0 and None if there is none."""
         for number in reversed(self.numbers()):
-            found = self.read(number)
-            if found:
-                return number, found
+            listing = self.read(number)
+            if listing:
+                return number, listing
         return 0, None
 
-    def save(self, taken: Listing) -> int:
-        """Keeps a listing as the next generation; it counts once its name is there, whole."""
+    def save(self, listing: Listing) -> int:
+        """Stores a listing as the next generation. It is written under a temporary name, synced and renamed:
+        under its own name it is complete."""
         number = max(self.numbers(), default=0) + 1
         name = f"gen-{number:09}.json"
         if name + ".part" in self._disk.names():
             self._disk.remove(name + ".part")
-        plain = {each: msgspec.to_builtins(spec) for each, spec in taken.engines.items()}
-        self._disk.append(name + ".part", msgspec.json.encode(plain))
+        engines = {each: msgspec.to_builtins(spec) for each, spec in listing.engines.items()}
+        self._disk.append(name + ".part", msgspec.json.encode(engines))
         self._disk.sync(name + ".part")
         self._disk.rename(name + ".part", name)
         self._disk.sync_names()
--- a/lifthead/members/view.py
+++ b/lifthead/members/view.py
@@ -1,8 +1,9 @@
-"""One view of the engines out of several sources that may contradict each other.
+"""Merges the engine lists of several sources that may contradict each other into one view of the fleet.
 
-The order of sources. A file says what may be used at all; the pushed list says what lives. Of two words on
-one engine the more cautious holds: gone, then draining, then ready. What takes an engine away is told at
-once (rule 3); what brings it back waits while the engine flaps. A source that is lost leaves its last word.
+The engine file decides which engines may be used; the pushed list decides which of them are alive. Where
+sources disagree about one engine, the most cautious readiness holds: gone, then draining, then ready. A
+change that takes an engine out of service is reported at once (rule 3); a change that brings it back is
+delayed while the engine flaps. The last list of a source that is lost stays in force.
 """
 
 from collections import deque
@@ -13,144 +14,151 @@
 from lifthead.engines.codec import ListedEngine
 
 CAUTION_RANK = {"ready": 0, "draining": 1, "gone": 2}
-FLAP_LIMIT = 3  # times that an engine went away within ...
-FLAP_WINDOW_US = 60_000_000  # ... this time, after which it comes back only when it has been ...
-FLAP_QUIET_US = 10_000_000  # ... ready in every source for so long
+FLAP_LIMIT = 3  # departures within FLAP_WINDOW_US from which on an engine counts as flapping
+FLAP_WINDOW_US = 60_000_000
+FLAP_QUIET_US = 10_000_000  # a flapping engine comes back once every source has called it ready for so long
 
 
 @dataclass(slots=True)
 class Source:
-    """The last word of one source."""
+    """The last list of one source."""
 
     engines: dict[str, ListedEngine] = field(default_factory=dict)
-    at: int = 0
-    whole: bool = False  # a whole list has come: what it does not name is gone
-    kept_out: str = ""  # why its latest list was not taken
+    updated_at: int = 0
+    complete: bool = False  # a full list has arrived: an engine that it does not name is gone
+    rejection: str = ""  # why its latest list was rejected
 
 
 @dataclass(slots=True)
 class Member:
-    """One engine as it was last told, and how it has behaved."""
+    """One engine as it was last reported to the decision module, and its recent behaviour."""
 
     reported: ListedEngine
-    by: str  # the source whose word it was
+    source: str  # the source that decided its readiness
     since: int
-    departures: deque[int] = field(default_factory=deque)
-    ready_since: int = 0  # in all sources; 0: not ready
+    departures: deque[int] = field(default_factory=deque)  # when it stopped being ready
+    ready_since: int = 0  # ready in all sources since then; 0: not ready
 
 
 class FleetView:
-    """`primary` sources name the engines; others only speak of them. Without a primary one that has spoken,
-    any source names them."""
+    """The `primary` source names the engines; the others only change their readiness. Until the primary
+    source has sent a full list, any source may name engines."""
 
     def __init__(self, primary: str = "file") -> None:
         self._primary = primary
         self._sources: dict[str, Source] = {}
         self.members: dict[str, Member] = {}
 
-    def update(self, source: str, engines: list[ListedEngine], whole: bool, now: int) -> str:
-        """A source speaks. The reason if its list is kept out: a whole list without any engine that is not
-        gone, while the source had some, is a source that has failed."""
-        found = self._sources.setdefault(source, Source())
-        alive = any(engine.readiness != "gone" for engine in engines)
-        if whole and not engines and any(each.readiness != "gone" for each in found.engines.values()):
-            found.kept_out = "an empty list: the last one stays"
-            return found.kept_out
-        if whole and not alive and not found.whole:
-            found.kept_out = "a first list of engines that are all gone"
-            return found.kept_out
-        if whole:
-            found.engines, found.whole = {}, True
-        found.engines.update({engine.name: engine for engine in engines})
-        found.at, found.kept_out = now, ""
+    def update(self, source: str, engines: list[ListedEngine], full: bool, now: int) -> str:
+        """Takes a list from a source; `full` lists replace the one before. Returns why the list was rejected,
+        "" if it was accepted. An empty full list from a source that had engines is rejected, and so is a
+        first full list whose engines are all gone: the source itself has failed."""
+        state = self._sources.setdefault(source, Source())
+        any_alive = any(engine.readiness != "gone" for engine in engines)
+        if full and not engines and any(each.readiness != "gone" for each in state.engines.values()):
+            state.rejection = "the list is empty: the last one stays in force"
+            return state.rejection
+        if full and not any_alive and not state.complete:
+            state.rejection = "the first list has only engines that are gone"
+            return state.rejection
+        if full:
+            state.engines, state.complete = {}, True
+        state.engines.update({engine.name: engine for engine in engines})
+        state.updated_at, state.rejection = now, ""
         return ""
 
     def withdraw(self, source: str, names: list[str]) -> None:
-        """A source takes back what it said of these engines."""
-        found = self._sources.get(source)
-        for name in names if found else ():
-            found.engines.pop(name, None)
+        """Removes what a source has reported of these engines."""
+        state = self._sources.get(source)
+        for name in names if state else ():
+            state.engines.pop(name, None)
 
     def engines_of(self, source: str) -> list[ListedEngine]:
-        """The last word of one source."""
-        found = self._sources.get(source)
-        return list(found.engines.values()) if found else []
+        """The last list of one source."""
+        state = self._sources.get(source)
+        return list(state.engines.values()) if state else []
 
     def take_changes(self, now: int) -> list[ListedEngine]:
-        """What the module is to be told now; each engine once at most."""
-        found = []
-        for name in sorted(self._names() | set(self.members)):
-            word, by = self._word(name)
+        """The changes to report to the decision module now, at most one for each engine. They count as
+        reported from here on."""
+        changes = []
+        for name in sorted(self._listed_names() | set(self.members)):
+            merged, source = self._merge(name)
             member = self.members.get(name)
-            if word is None:
+            if merged is None:
                 if member and member.reported.readiness != "gone":
-                    found.append(self._tell(member, _as(member.reported, "gone"), "no source names it", now))
+                    changes.append(
+                        self._record(
+                            member, _with_readiness(member.reported, "gone"), "no source names it", now
+                        )
+                    )
                 continue
             if member is None:
-                if word.readiness == "gone":
+                if merged.readiness == "gone":
                     continue
-                self.members[name] = member = Member(word, by, now)
-                member.ready_since = now if word.readiness == "ready" else 0
-                found.append(word)
+                self.members[name] = member = Member(merged, source, now)
+                member.ready_since = now if merged.readiness == "ready" else 0
+                changes.append(merged)
                 continue
-            member.ready_since = (member.ready_since or now) if word.readiness == "ready" else 0
+            member.ready_since = (member.ready_since or now) if merged.readiness == "ready" else 0
             if (
-                word.readiness == "ready"
+                merged.readiness == "ready"
                 and member.reported.readiness != "ready"
-                and self._flaps(member, now)
+                and self._is_flapping(member, now)
             ):
-                word = _as(word, member.reported.readiness)
-            if word != member.reported:
-                found.append(self._tell(member, word, by, now))
-        return found
+                merged = _with_readiness(merged, member.reported.readiness)
+            if merged != member.reported:
+                changes.append(self._record(member, merged, source, now))
+        return changes
 
-    def _tell(self, member: Member, word: ListedEngine, by: str, now: int) -> ListedEngine:
-        if member.reported.readiness == "ready" and word.readiness != "ready":
+    def _record(self, member: Member, engine: ListedEngine, source: str, now: int) -> ListedEngine:
+        if member.reported.readiness == "ready" and engine.readiness != "ready":
             member.departures.append(now)
-        if member.reported.readiness != word.readiness:
-            member.by, member.since = by, now
-        member.reported = word
-        return word
+        if member.reported.readiness != engine.readiness:
+            member.source, member.since = source, now
+        member.reported = engine
+        return engine
 
-    def _flaps(self, member: Member, now: int) -> bool:
+    def _is_flapping(self, member: Member, now: int) -> bool:
         while member.departures and member.departures[0] < now - FLAP_WINDOW_US:
             member.departures.popleft()
         return len(member.departures) >= FLAP_LIMIT and now - member.ready_since < FLAP_QUIET_US
 
-    def _names(self) -> set[str]:
+    def _listed_names(self) -> set[str]:
         primary = self._sources.get(self._primary)
-        if primary and primary.whole:
+        if primary and primary.complete:
             return set(primary.engines)
         return {name for source in self._sources.values() for name in source.engines}
 
-    def _word(self, name: str) -> tuple[ListedEngine | None, str]:
-        """The most cautious word on an engine, and whose it is; the fields are the primary source's."""
-        if name not in self._names():
+    def _merge(self, name: str) -> tuple[ListedEngine | None, str]:
+        """The most cautious report on an engine, and its source; the other fields come from the primary
+        source if it names the engine."""
+        if name not in self._listed_names():
             return None, ""
-        words = []
-        for source, said in self._sources.items():
-            if name in said.engines:
-                words.append(
-                    (CAUTION_RANK[said.engines[name].readiness], source, said.engines[name].readiness)
+        reports = []
+        for source, state in self._sources.items():
+            if name in state.engines:
+                reports.append(
+                    (CAUTION_RANK[state.engines[name].readiness], source, state.engines[name].readiness)
                 )
-            elif said.whole:
-                words.append((CAUTION_RANK["gone"], source, "gone"))
-        _, by, readiness = max(words)
-        named = [said.engines[name] for said in self._sources.values() if name in said.engines]
+            elif state.complete:
+                reports.append((CAUTION_RANK["gone"], source, "gone"))
+        _, decisive_source, readiness = max(reports)
+        listed = [state.engines[name] for state in self._sources.values() if name in state.engines]
         primary = self._sources.get(self._primary)
-        fields = primary.engines[name] if primary and name in primary.engines else named[0]
-        started = max(each.started_at for each in named)
-        drains = max(each.drains_by for each in named)
-        word = msgspec.structs.replace(fields, started_at=started, readiness=readiness, drains_by=drains)
-        return word, by
+        fields = primary.engines[name] if primary and name in primary.engines else listed[0]
+        started = max(each.started_at for each in listed)
+        drains = max(each.drains_by for each in listed)
+        merged = msgspec.structs.replace(fields, started_at=started, readiness=readiness, drains_by=drains)
+        return merged, decisive_source
 
     def engine_rows(self, now: int) -> list[dict]:
-        """For operators: each engine, who said so, and since when; each source and the age of its word."""
+        """For operators: each engine, the source that decided its readiness, and since when."""
         return [
             {
                 "engine": name,
                 "readiness": member.reported.readiness,
-                "by": member.by,
+                "by": member.source,
                 "for_s": (now - member.since) / 1e6,
                 "flaps": len(member.departures),
             }
@@ -158,16 +166,17 @@
         ]
 
     def source_rows(self, now: int) -> list[dict]:
+        """For operators: each source, the age of its last list, and why its latest one was rejected."""
         return [
             {
                 "source": name,
-                "engines": len(said.engines),
-                "age_s": (now - said.at) / 1e6,
-                "kept_out": said.kept_out,
+                "engines": len(state.engines),
+                "age_s": (now - state.updated_at) / 1e6,
+                "kept_out": state.rejection,
             }
-            for name, said in sorted(self._sources.items())
+            for name, state in sorted(self._sources.items())
         ]
 
 
-def _as(engine: ListedEngine, readiness: str) -> ListedEngine:
+def _with_readiness(engine: ListedEngine, readiness: str) -> ListedEngine:
     return msgspec.structs.replace(engine, readiness=readiness)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -340,7 +340,7 @@
                 return lifthead("drain-engines", *words, "--run", tmp_path, "--json")
 
             refused = await asyncio.to_thread(drain, "kind:writer")
-            assert refused.returncode == 1 and "leave 0 of 3 ready writers" in refused.stdout
+            assert refused.returncode == 1 and "leave 0 of 3 ready decode engines" in refused.stdout
             assert "chooses no engine" in (await asyncio.to_thread(drain, "zone:none")).stdout
             assert "expected names" in (await asyncio.to_thread(drain, "zone:")).stdout
             assert (await asyncio.to_thread(drain, "wr,wr2", "--limit", "30s")).returncode == 0
--- a/tests/test_weight.py
+++ b/tests/test_weight.py
@@ -50,7 +50,7 @@
 def test_answers_are_counted_while_they_are_recent():
     lately = RecentAnswers()
     for second in range(8):
-        lately.add(second * 1_000_000, pushed_back=second == 7, missed=second % 2 == 1)
+        lately.add(second * 1_000_000, rejected=second == 7, missed=second % 2 == 1)
     assert lately.counts(7_000_000) == (6, 1, 3)
     assert lately.counts(7_000_000 + WINDOW_US + 1) == (0, 0, 0)
 
