--- a/lifthead/members/rolling.py
+++ b/lifthead/members/rolling.py
@@ -1,4 +1,5 @@
-"""The tool side of a roll: asks routers, runs restart commands, keeps how far it is. Decides nothing."""
+"""The I/O of a rolling restart: queries routers, runs restart commands, stores the progress. Decides
+nothing."""
 
 import asyncio
 import contextlib
@@ -16,19 +17,19 @@
 from lifthead.members.roll import EngineStatus, FleetStatus, Plan, Roll, RouterStatus, Step
 from lifthead.members.store import replace_file
 
-LOOK_EVERY = 0.25  # seconds
-ANSWER_WITHIN = 2.0
-UP_WITHIN = 0.5
+POLL_INTERVAL_S = 0.25
+ADMIN_TIMEOUT_S = 2.0
+CONNECT_TIMEOUT_S = 0.5
 
 Restart = Callable[[Step], Awaitable[str]]
 
 
-def wall() -> int:
+def wall_clock() -> int:
     return time.time_ns() // 1000
 
 
 class SavedRoll(msgspec.Struct):
-    """A roll on the disk."""
+    """A roll as it is stored in roll.json."""
 
     plan: Plan
     command: str
@@ -37,11 +38,11 @@
 
 
 class RollBusyError(Exception):
-    """Another tool is rolling this fleet, or a roll was begun and is not over."""
+    """Another tool is rolling this fleet, or an earlier roll is not finished."""
 
 
 class RollFile:
-    """The roll's file, held by one tool at a time."""
+    """The stored roll, locked by one tool at a time."""
 
     def __init__(self, run: Path) -> None:
         self.path = run / "roll.json"
@@ -50,7 +51,7 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._lock)
-            raise RollBusyError("another `lifthead roll` is at work here") from None
+            raise RollBusyError("another `lifthead roll` is running here") from None
 
     def __enter__(self) -> Self:
         return self
@@ -64,15 +65,15 @@
         except FileNotFoundError:
             return None
 
-    def write(self, kept: SavedRoll) -> None:
-        replace_file(self.path, msgspec.json.encode(kept), sync=True)
+    def write(self, saved: SavedRoll) -> None:
+        replace_file(self.path, msgspec.json.encode(saved), sync=True)
 
     def forget(self) -> None:
         self.path.unlink(missing_ok=True)
 
 
-async def shell(command: str, step: Step, within: float) -> str:
-    """Runs an operator's command for one engine or router; why it failed, "" if it did not."""
+async def run_command(command: str, step: Step, timeout_s: float) -> str:
+    """Runs an operator's command for one engine or router; returns why it failed, "" if it succeeded."""
     process = await asyncio.create_subprocess_shell(
         command.format(name=shlex.quote(step.name)),
         stdin=asyncio.subprocess.DEVNULL,
@@ -80,21 +81,21 @@
         stderr=asyncio.subprocess.PIPE,
     )
     try:
-        async with asyncio.timeout(within):
-            _, said = await process.communicate()
+        async with asyncio.timeout(timeout_s):
+            _, stderr = await process.communicate()
     except TimeoutError:
         with contextlib.suppress(ProcessLookupError):
             process.kill()
         await process.wait()
-        return f"the restart's command took over {within:.0f} s"
+        return f"the restart command took over {timeout_s:.0f} s"
     if process.returncode == 0:
         return ""
-    told = said.decode(errors="replace").strip().splitlines()[-1:] or ["no word"]
-    return f"the restart's command ended with {process.returncode}: {told[0]}"
+    last_line = stderr.decode(errors="replace").strip().splitlines()[-1:] or ["no output"]
+    return f"the restart command exited with {process.returncode}: {last_line[0]}"
 
 
 class FleetObserver:
-    """What the routers of a run directory tell of the fleet."""
+    """Combines what the routers of a run directory report of the fleet."""
 
     def __init__(self, run: Path) -> None:
         self._run = run
@@ -102,41 +103,45 @@
         self._addresses: dict[str, str] = {}
 
     async def observe(self, returning: Collection[str] = ()) -> FleetStatus:
-        """All routers' views together: ready where all say so, what is out at any of them. Whether engines
-        take connections is looked at for those that return."""
+        """The combined views of all routers: an engine is ready if all of them say so, and its attempts in
+        flight are added up. Engines that return are probed for whether they accept connections."""
         paths = admin.sockets(self._run)
         states, views = await asyncio.gather(
-            admin.ask_all(paths, {"ask": "state"}, ANSWER_WITHIN),
-            admin.ask_all(paths, {"ask": "engines"}, ANSWER_WITHIN),
+            admin.ask_all(paths, {"ask": "state"}, ADMIN_TIMEOUT_S),
+            admin.ask_all(paths, {"ask": "engines"}, ADMIN_TIMEOUT_S),
         )
-        found = FleetStatus({}, {})
+        fleet = FleetStatus({}, {})
         unanswered = {name for name in paths if states[name] is None or views[name] is None}
-        found.silent = {name for name in unanswered if admin.listens(paths[name])}
+        fleet.unresponsive = {name for name in unanswered if admin.listens(paths[name])}
         for name, state in states.items():
             if state:
-                found.routers[name] = RouterStatus(state["ready"], state["reqs"], state["pid"])
-                found.ended += state["lately"]["ended"]
-                found.missed += state["lately"]["missed"]
+                fleet.routers[name] = RouterStatus(state["ready"], state["reqs"], state["pid"])
+                fleet.answers += state["lately"]["ended"]
+                fleet.missed += state["lately"]["missed"]
         for rows in views.values():
             for row in rows or ():
-                seen = found.engines.setdefault(
-                    row["name"], EngineStatus(row["role"], row["zone"], row["weight"], ready=True, open=False)
+                engine = fleet.engines.setdefault(
+                    row["name"],
+                    EngineStatus(row["role"], row["zone"], row["weight"], ready=True, accepts_requests=False),
                 )
-                well = row["readiness"] == "ready"
-                seen.ready = seen.ready and well and not row["cold"] and not row["suspect"]
-                seen.open, seen.out = seen.open or well, seen.out + row["out"]
-                seen.drained = seen.drained or row["readiness"] == "draining"
+                is_ready = row["readiness"] == "ready"
+                engine.ready = engine.ready and is_ready and not row["cold"] and not row["suspect"]
+                engine.accepts_requests, engine.in_flight = (
+                    engine.accepts_requests or is_ready,
+                    engine.in_flight + row["out"],
+                )
+                engine.draining = engine.draining or row["readiness"] == "draining"
                 self._addresses[row["name"]] = row["address"]
                 self.labels[row["name"]] = {(key, str(row[key])) for key in ("zone", "cell", "kind")}
         for name in returning:
-            if name in found.engines:
-                found.engines[name].up = await self._up(name)
-        return found
+            if name in fleet.engines:
+                fleet.engines[name].reachable = await self._accepts_connections(name)
+        return fleet
 
-    async def _up(self, name: str) -> bool:
+    async def _accepts_connections(self, name: str) -> bool:
         host, _, port = self._addresses[name].rpartition(":")
         with contextlib.suppress(OSError, TimeoutError):
-            async with asyncio.timeout(UP_WITHIN):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(host, int(port))
                 writer.close()
                 return True
@@ -144,39 +149,39 @@
 
 
 class RollRunner:
-    """Carries a roll out until it is over or has failed."""
+    """Carries a roll out until it is finished or has failed."""
 
-    def __init__(self, run: Path, place: RollFile, kept: SavedRoll, report: Callable[[str], None],
+    def __init__(self, run: Path, file: RollFile, saved: SavedRoll, report: Callable[[str], None],
                  restart: Restart | None = None) -> None:  # fmt: skip
-        self._run, self._place, self._kept = run, place, kept
+        self._run, self._file, self._saved = run, file, saved
         self.report = report
-        self._command = restart or self._shell
+        self._restart_command = restart or self._run_restart_command
         self._observer = FleetObserver(run)
-        self._asks: list[tuple[str, dict[str, Any]]] = []  # a router, "" for all, and what it is asked
+        self._commands: list[tuple[str, dict[str, Any]]] = []  # a router, "" for all, and the admin command
         self._tasks: set[asyncio.Task] = set()
-        self.roll = Roll(self, kept.plan, kept.steps)
+        self.roll = Roll(self, saved.plan, saved.steps)
 
-    async def _shell(self, step: Step) -> str:
-        command = self._kept.router_command if step.router else self._kept.command
-        return await shell(command, step, self._kept.plan.back_within / 1e6)
+    async def _run_restart_command(self, step: Step) -> str:
+        command = self._saved.router_command if step.router else self._saved.command
+        return await run_command(command, step, self._saved.plan.back_within / 1e6)
 
-    # What the roll does.
+    # The host's side of the roll.
 
     def save(self, steps: list[Step]) -> None:
-        self._kept.steps = steps
-        self._place.write(self._kept)
+        self._saved.steps = steps
+        self._file.write(self._saved)
 
     def drain(self, step: Step) -> None:
         if step.router:
-            self._asks.append((step.name, {"ask": "drain"}))
+            self._commands.append((step.name, {"ask": "drain"}))
         else:
-            limit = self._kept.plan.limit
-            question = {"ask": "drain engines", "selector": step.name, "limit": limit, "force": True}
-            self._asks.append(("", question))
+            limit = self._saved.plan.limit
+            command = {"ask": "drain engines", "selector": step.name, "limit": limit, "force": True}
+            self._commands.append(("", command))
 
     def undrain(self, step: Step) -> None:
-        question = {"ask": "drain engines", "selector": step.name, "undo": True, "started_at": step.since}
-        self._asks.append(("", question))
+        command = {"ask": "drain engines", "selector": step.name, "undo": True, "started_at": step.since}
+        self._commands.append(("", command))
 
     def restart(self, step: Step) -> None:
         task = asyncio.get_running_loop().create_task(self._restart(step))
@@ -184,21 +189,22 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _restart(self, step: Step) -> None:
-        self.roll.on_restarted(step.name, await self._command(step), wall())
+        self.roll.on_restarted(step.name, await self._restart_command(step), wall_clock())
 
     async def run(self) -> str:
-        """Until all is done, "", or it can't go on: why. Commands under way are waited for."""
+        """Runs until every step is done, then returns "", or until the roll can't go on, then returns why.
+        Waits for restart commands that are still running."""
         while not self.roll.finished and not self.roll.failed:
             returning = [step.name for step in self.roll.steps if step.stage == "returning"]
-            self.roll.advance(await self._observer.observe(returning), wall())
-            asks, self._asks = self._asks, []
-            for to, question in asks:
+            self.roll.advance(await self._observer.observe(returning), wall_clock())
+            commands, self._commands = self._commands, []
+            for router, command in commands:
                 paths = admin.sockets(self._run)
-                asked = {name: path for name, path in paths.items() if to in ("", name)}
-                await admin.ask_all(asked, question, ANSWER_WITHIN)
-            await asyncio.sleep(LOOK_EVERY)
+                targets = {name: path for name, path in paths.items() if router in ("", name)}
+                await admin.ask_all(targets, command, ADMIN_TIMEOUT_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         if self._tasks:
             await asyncio.wait(self._tasks)
         if self.roll.finished:
-            self._place.forget()
+            self._file.forget()
         return self.roll.failed
