--- a/lifthead/ledger/__init__.py
+++ b/lifthead/ledger/__init__.py
@@ -1,6 +1,6 @@
-"""Who used what: entries of tokens and reqs, cut into periods, exported once, reconciled without shared
-state.
+"""Accounting of tokens and requests per tenant: entries in periods, exported exactly once, and reconciled
+without state shared between routers.
 
-`entries`, `book`, `quota` and `reconcile` decide and do no I/O; `journal` decides what is on the disk
-through the small port in `disk`; `export` and `keeper` are the sockets, files and tasks around them.
+`entries`, `book`, `quota` and `reconcile` decide and do no I/O. `journal` decides what is written to the
+disk, through the small interface in `disk`. `export` and `keeper` hold the sockets, files and tasks.
 """
--- a/lifthead/ledger/book.py
+++ b/lifthead/ledger/book.py
@@ -1,4 +1,5 @@
-"""The sums of a ledger's entries. A closed period never changes; sums are always of entries."""
+"""The totals of a ledger's entries. A closed period never changes; totals are only ever computed from
+entries."""
 
 from dataclasses import dataclass, field
 
@@ -6,15 +7,15 @@
 
 from lifthead.ledger.entries import Closed, Correction, Delivered, Entry, Planned, Usage
 
-MAX_BATCH_ENTRIES = 5_000  # entries of one export at most
+MAX_BATCH_ENTRIES = 5_000  # in one export
 
 
 class RefusedError(Exception):
-    """An entry that can't be taken: one line that says why."""
+    """An entry that does not fit the ledger; the message is one line that says why."""
 
 
 class UsageTotal(msgspec.Struct):
-    """What one tenant used of one endpoint group in one period."""
+    """The usage of one tenant in one request class in one period."""
 
     reqs: int = 0
     prompt: int = 0
@@ -22,39 +23,43 @@
     read_anew: int = 0
 
 
-Key = tuple[str, str, str]  # period, tenant, group
+Key = tuple[str, str, str]  # period, tenant, request class
 
 
 @dataclass(slots=True)
 class Book:
-    """All that is known from entries 1 to `last`."""
+    """The state after entries 1 to `last`."""
 
     last: int = 0
-    at: int = 0  # the latest time of an entry: a clock that steps back does not take it along
+    latest_time: int = 0  # of any entry: it does not follow a clock that steps back
     sums: dict[Key, UsageTotal] = field(default_factory=dict)
     closed: set[str] = field(default_factory=set)
     corrections: dict[str, Correction] = field(default_factory=dict)
     reversed: set[str] = field(default_factory=set)
-    exported: int = 0  # entries up to here have landed
+    exported: int = 0  # the billing system has accepted all entries up to this one
     planned: Planned | None = None
 
     def check(self, entry: Entry) -> None:
-        """RefusedError if the entry does not fit what is here."""
+        """Raises RefusedError if the entry does not fit the present state."""
         if isinstance(entry, (Usage, Correction)) and entry.period in self.closed:
-            raise RefusedError(f"period {entry.period} is closed, expected an entry of an open one")
+            raise RefusedError(f"period {entry.period} is closed, expected an open period")
         if isinstance(entry, Closed) and entry.period in self.closed:
-            raise RefusedError(f"period {entry.period} is closed already")
+            raise RefusedError(f"period {entry.period} is already closed")
         if isinstance(entry, Correction):
             if entry.id in self.corrections:
-                raise RefusedError(f"correction {entry.id} stands already")
+                raise RefusedError(f"correction {entry.id} already exists")
             if entry.reverses:
-                other = self.corrections.get(entry.reverses)
-                if other is None:
+                original = self.corrections.get(entry.reverses)
+                if original is None:
                     raise RefusedError(f"no correction {entry.reverses!r}")
                 if entry.reverses in self.reversed:
-                    raise RefusedError(f"correction {entry.reverses} is reversed already")
-                if (entry.reqs, entry.prompt, entry.answer) != (-other.reqs, -other.prompt, -other.answer):
-                    raise RefusedError(f"a reversal of {entry.reverses} has its amounts with the other sign")
+                    raise RefusedError(f"correction {entry.reverses} is already reversed")
+                if (entry.reqs, entry.prompt, entry.answer) != (
+                    -original.reqs,
+                    -original.prompt,
+                    -original.answer,
+                ):
+                    raise RefusedError(f"expected the amounts of {entry.reverses} with the opposite sign")
         if isinstance(entry, Delivered) and entry.first != self.exported + 1:
             raise RefusedError(f"batch {entry.id} begins at {entry.first}, expected {self.exported + 1}")
         if isinstance(entry, Planned) and (entry.first != self.exported + 1 or entry.last > self.last):
@@ -63,8 +68,8 @@
             )
 
     def apply(self, number: int, entry: Entry) -> None:
-        """Takes the next entry, which `check` has passed."""
-        self.last, self.at = number, max(self.at, entry.at)
+        """Adds the next entry, which has passed `check`."""
+        self.last, self.latest_time = number, max(self.latest_time, entry.at)
         if isinstance(entry, Usage):
             self._add(entry, 1, entry.billed_prompt, entry.billed_answer, entry.read_anew)
         elif isinstance(entry, Correction):
@@ -87,32 +92,34 @@
         total.read_anew += read_anew
 
     def open_period(self, wanted: str) -> str:
-        """The period for an entry of this one: a late entry counts in the first one after it that is open."""
+        """The period in which an entry of the wanted period counts: the wanted one, or the first open one
+        after it."""
         while wanted in self.closed:
             wanted = next_period(wanted)
         return wanted
 
-    def reversal(self, of: str, new_id: str, at: int, period: str, why: str) -> Correction:
-        """The entry that takes a correction back; RefusedError if there is none."""
-        other = self.corrections.get(of)
-        if other is None:
-            raise RefusedError(f"no correction {of!r}")
+    def reversal(self, correction_id: str, new_id: str, at: int, period: str, why: str) -> Correction:
+        """The entry that reverses a correction; raises RefusedError if there is no such correction."""
+        original = self.corrections.get(correction_id)
+        if original is None:
+            raise RefusedError(f"no correction {correction_id!r}")
         return Correction(
             id=new_id,
             at=at,
             period=self.open_period(period),
-            of_period=other.of_period,
-            tenant=other.tenant,
-            group=other.group,
-            reqs=-other.reqs,
-            prompt=-other.prompt,
-            answer=-other.answer,
+            of_period=original.of_period,
+            tenant=original.tenant,
+            group=original.group,
+            reqs=-original.reqs,
+            prompt=-original.prompt,
+            answer=-original.answer,
             why=why,
-            reverses=of,
+            reverses=correction_id,
         )
 
     def next_batch(self, ledger: str, at: int) -> Planned | None:
-        """The batch to export now: the planned one again, else the next entries; None if there are none."""
+        """The batch to export now: the planned one if there is one, else the next entries; None if there are
+        none."""
         if self.planned:
             return self.planned
         first, last = self.exported + 1, min(self.last, self.exported + MAX_BATCH_ENTRIES)
@@ -123,14 +130,14 @@
     def tokens_used(self, period: str, tenant: str) -> int:
         """Billed tokens of a tenant in a period."""
         return sum(
-            each.prompt + each.answer
-            for (when, who, _), each in self.sums.items()
-            if (when, who) == (period, tenant)
+            total.prompt + total.answer
+            for (entry_period, entry_tenant, _), total in self.sums.items()
+            if (entry_period, entry_tenant) == (period, tenant)
         )
 
 
 def next_period(period: str) -> str:
-    """The period after this one, of the same form."""
+    """The next period in the same format."""
     from datetime import date, timedelta
 
     if len(period) == 7:
@@ -140,7 +147,7 @@
 
 
 class BookSnapshot(msgspec.Struct):
-    """A book as a snapshot holds it."""
+    """A book as it is stored in a snapshot."""
 
     last: int
     at: int
@@ -156,13 +163,13 @@
     return msgspec.msgpack.encode(
         BookSnapshot(
             book.last,
-            book.at,
+            book.latest_time,
             [
-                (*key, each.reqs, each.prompt, each.answer, each.read_anew)
-                for key, each in sorted(book.sums.items())
+                (*key, total.reqs, total.prompt, total.answer, total.read_anew)
+                for key, total in sorted(book.sums.items())
             ],
             sorted(book.closed),
-            [book.corrections[name] for name in sorted(book.corrections)],
+            [book.corrections[id_] for id_ in sorted(book.corrections)],
             sorted(book.reversed),
             book.exported,
             book.planned,
@@ -171,15 +178,15 @@
 
 
 def decode_book(data: bytes) -> Book:
-    """The book of a snapshot; msgspec.DecodeError if it is none."""
-    found = msgspec.msgpack.decode(data, type=BookSnapshot)
+    """The book of a snapshot; raises msgspec.DecodeError if the data is invalid."""
+    snapshot = msgspec.msgpack.decode(data, type=BookSnapshot)
     return Book(
-        found.last,
-        found.at,
-        {(p, t, g): UsageTotal(*rest) for p, t, g, *rest in found.sums},
-        set(found.closed),
-        {each.id: each for each in found.corrections},
-        set(found.reversed),
-        found.exported,
-        found.planned,
+        snapshot.last,
+        snapshot.at,
+        {(period, tenant, group): UsageTotal(*rest) for period, tenant, group, *rest in snapshot.sums},
+        set(snapshot.closed),
+        {each.id: each for each in snapshot.corrections},
+        set(snapshot.reversed),
+        snapshot.exported,
+        snapshot.planned,
     )
--- a/lifthead/ledger/disk.py
+++ b/lifthead/ledger/disk.py
@@ -1,4 +1,4 @@
-"""The disk as the journal sees it: few operations, so that a test can fail each of them."""
+"""The disk as the journal uses it: a few operations, so that a test can make each of them fail."""
 
 import os
 from pathlib import Path
@@ -6,8 +6,9 @@
 
 
 class Disk(Protocol):
-    """Names are plain file names. What was written is sure after `sync`; that a name is there, or gone, or
-    renamed, after `sync_names`. Each call may raise OSError, and may then have been carried out in part."""
+    """Names are plain file names. Written data is durable after `sync`; the creation, removal or renaming of
+    a file is durable after `sync_names`. Each call may raise OSError and may then have been carried out in
+    part."""
 
     def names(self) -> list[str]: ...
 
@@ -30,7 +31,7 @@
     def __init__(self, path: str | Path) -> None:
         self.path = Path(path)
         self.path.mkdir(parents=True, exist_ok=True)
-        self._open: dict[str, int] = {}
+        self._descriptors: dict[str, int] = {}
 
     def names(self) -> list[str]:
         return sorted(os.listdir(self.path))
@@ -39,12 +40,12 @@
         return (self.path / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        handle = self._handle(name)
+        descriptor = self._descriptor(name)
         while data:
-            data = data[os.write(handle, data) :]
+            data = data[os.write(descriptor, data) :]
 
     def sync(self, name: str) -> None:
-        os.fdatasync(self._handle(name))
+        os.fdatasync(self._descriptor(name))
 
     def rename(self, name: str, to: str) -> None:
         self._close(name)
@@ -55,21 +56,21 @@
         os.remove(self.path / name)
 
     def sync_names(self) -> None:
-        handle = os.open(self.path, os.O_RDONLY)
+        descriptor = os.open(self.path, os.O_RDONLY)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
 
     def close(self) -> None:
-        for name in list(self._open):
+        for name in list(self._descriptors):
             self._close(name)
 
-    def _handle(self, name: str) -> int:
-        if name not in self._open:
-            self._open[name] = os.open(self.path / name, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
-        return self._open[name]
+    def _descriptor(self, name: str) -> int:
+        if name not in self._descriptors:
+            self._descriptors[name] = os.open(self.path / name, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o600)
+        return self._descriptors[name]
 
     def _close(self, name: str) -> None:
-        if name in self._open:
-            os.close(self._open.pop(name))
+        if name in self._descriptors:
+            os.close(self._descriptors.pop(name))
--- a/lifthead/ledger/entries.py
+++ b/lifthead/ledger/entries.py
@@ -1,5 +1,4 @@
-"""What a ledger holds: entries that are never changed. docs/ledger.md has the table of what is billed
-when."""
+"""The entries of a ledger, which are never changed. docs/ledger.md has the table of what is billed when."""
 
 from datetime import UTC, datetime
 from zoneinfo import ZoneInfo
@@ -8,43 +7,44 @@
 
 
 class Usage(msgspec.Struct, frozen=True, kw_only=True, tag="usage"):
-    """One req that has ended. Its id is the router's for the req: it holds the router's name and life."""
+    """One request that has ended. Its id is the router's id of the request, which contains the router's name
+    and start."""
 
     id: str
     at: int  # wall clock, microseconds
     period: str
     tenant: str
     group: str
-    ended: str  # done, pushed back, aborted or left
-    prompt: int  # tokens, by the router's estimate
-    kept: int  # of them, found kept by the engine that read them last
-    sent: int  # answer tokens that the client was sent
-    made: int  # answer tokens that engines made, as far as their streams showed
-    forwards: int
+    ended: str  # done (served), pushed back (rejected), aborted (failed) or left (the client closed)
+    prompt: int  # tokens, estimated by the router
+    kept: int  # of them, found in the prefix cache of the last engine that prefilled the prompt
+    sent: int  # answer tokens sent to the client
+    made: int  # answer tokens decoded by engines, as seen in their streams
+    forwards: int  # attempts
     resumes: int
-    read_anew: int  # tokens read again for resumes: the operator's cost
+    read_anew: int  # tokens prefilled again for resumes, which the operator pays for
     billed_prompt: int
     billed_answer: int
 
 
 class Correction(msgspec.Struct, frozen=True, kw_only=True, tag="correction"):
-    """An operator's entry: amounts to add, or another correction to take back."""
+    """An operator's entry: amounts to add, or the reversal of another correction."""
 
     id: str
     at: int
-    period: str  # where it counts: an open one
-    of_period: str  # what it corrects, may be closed
+    period: str  # the open period in which it counts
+    of_period: str  # the period that it corrects, which may be closed
     tenant: str
     group: str
     reqs: int
     prompt: int
     answer: int
     why: str
-    reverses: str = ""  # id of a correction whose amounts this one undoes
+    reverses: str = ""  # id of the correction that this one reverses
 
 
 class Closed(msgspec.Struct, frozen=True, kw_only=True, tag="closed"):
-    """A period that gets no more entries."""
+    """The end of a period: it gets no more entries."""
 
     id: str
     at: int
@@ -52,16 +52,16 @@
 
 
 class Planned(msgspec.Struct, frozen=True, kw_only=True, tag="planned"):
-    """A batch that is about to be exported: after a restart it is sent again with the same bounds."""
+    """A batch that is about to be exported. After a restart it is sent again with the same bounds."""
 
-    id: str  # of the batch
+    id: str  # batch id
     at: int
     first: int
     last: int
 
 
 class Delivered(msgspec.Struct, frozen=True, kw_only=True, tag="delivered"):
-    """A batch that has landed."""
+    """A batch that the billing system has accepted."""
 
     id: str
     at: int
@@ -75,7 +75,7 @@
 
 
 def decode(data: bytes) -> tuple[int, Entry]:
-    """Number and entry of a payload; msgspec.DecodeError if it is none."""
+    """Number and entry of a record's payload; raises msgspec.DecodeError if it is invalid."""
     return _decode(data)
 
 
@@ -86,8 +86,9 @@
 
 
 def billed_tokens(ended: str, first_token_sent: bool, prompt: int, sent: int) -> tuple[int, int]:
-    """Prompt and answer tokens that are billed: what the client has seen, and the prompt if it saw anything.
-    A pushed back req is free, and so is an abort before the first token: the client has nothing of it."""
+    """Prompt and answer tokens to bill: the answer tokens that the client was sent, and the prompt if it was
+    sent any. A rejected request is free, and so is one that failed before its first token: the client got
+    nothing."""
     if ended == "done" or (first_token_sent and ended in ("aborted", "left")):
         return prompt, sent
     return 0, 0
@@ -110,7 +111,7 @@
     resumes: int,
     read_anew: int,
 ) -> Usage:
-    """The entry of a req that has ended."""
+    """The entry of a request that has ended."""
     billed_prompt, billed_answer = billed_tokens(ended, first_token_sent, prompt, sent)
     return Usage(
         id=request_id,
--- a/lifthead/ledger/export.py
+++ b/lifthead/ledger/export.py
@@ -1,6 +1,6 @@
-"""Batches as Parquet with a manifest, taken by a billing system exactly once: a batch is planned in the
-ledger, sent under an id that never stands for anything else, as often as it takes, and noted once it has
-landed."""
+"""Exports batches as Parquet with a manifest. The billing system takes each batch exactly once: a batch is
+planned in the ledger, sent under an id that never stands for anything else, as often as necessary, and
+recorded as delivered once it has been accepted."""
 
 import io
 import json
@@ -59,19 +59,19 @@
 
 
 def digest(rows: list[dict]) -> str:
-    """Of what the rows say, whatever wrote the file."""
-    plain = [[each.get(name) for name, _ in FIELDS] for each in rows]
-    return blake2b(json.dumps(plain).encode(), digest_size=16).hexdigest()
+    """A digest of the rows' content, independent of the Parquet writer."""
+    values = [[each.get(name) for name, _ in FIELDS] for each in rows]
+    return blake2b(json.dumps(values).encode(), digest_size=16).hexdigest()
 
 
 def batch_file(batch: str, ledger: str, entries: list[tuple[int, Entry]]) -> tuple[bytes, dict]:
-    """A batch's Parquet bytes and its manifest."""
+    """The Parquet bytes of a batch and its manifest."""
     rows = [row(number, entry) for number, entry in entries if isinstance(entry, (Usage, Correction))]
     table = pa.Table.from_pylist(
         [{name: each.get(name) for name, _ in FIELDS} for each in rows], schema=SCHEMA
     )
-    out = io.BytesIO()
-    pq.write_table(table, out, compression="zstd")
+    buffer = io.BytesIO()
+    pq.write_table(table, buffer, compression="zstd")
     manifest = {
         "batch": batch,
         "ledger": ledger,
@@ -81,57 +81,59 @@
         "first": entries[0][0] if entries else 0,
         "last": entries[-1][0] if entries else 0,
     }
-    return out.getvalue(), manifest
+    return buffer.getvalue(), manifest
 
 
 def read_entries(file: bytes | Path) -> list[Entry]:
-    """The entries of a batch's Parquet bytes; ValueError if its schema is not known."""
+    """The entries of a batch in Parquet; raises ValueError if its schema version is not supported."""
     table = pq.read_table(io.BytesIO(file) if isinstance(file, bytes) else file)
     version = (table.schema.metadata or {}).get(b"lifthead_schema", b"?").decode()
     if version != str(SCHEMA_VERSION):
-        raise ValueError(f"schema {version}, expected {SCHEMA_VERSION}")
-    found: list[Entry] = []
-    for each in table.to_pylist():
-        if each["kind"] == "usage":
-            kept = {name: each[name] for name in Usage.__struct_fields__}
-            found.append(Usage(**kept))
+        raise ValueError(f"schema version {version}, expected {SCHEMA_VERSION}")
+    entries: list[Entry] = []
+    for fields in table.to_pylist():
+        if fields["kind"] == "usage":
+            values = {name: fields[name] for name in Usage.__struct_fields__}
+            entries.append(Usage(**values))
         else:
-            found.append(
+            entries.append(
                 Correction(
-                    id=each["id"],
-                    at=each["at"],
-                    period=each["period"],
-                    of_period=each["of_period"],
-                    tenant=each["tenant"],
-                    group=each["group"],
-                    reqs=each["reqs"],
-                    prompt=each["billed_prompt"],
-                    answer=each["billed_answer"],
-                    why=each["why"],
-                    reverses=each["reverses"],
+                    id=fields["id"],
+                    at=fields["at"],
+                    period=fields["period"],
+                    of_period=fields["of_period"],
+                    tenant=fields["tenant"],
+                    group=fields["group"],
+                    reqs=fields["reqs"],
+                    prompt=fields["billed_prompt"],
+                    answer=fields["billed_answer"],
+                    why=fields["why"],
+                    reverses=fields["reverses"],
                 )
             )
-    return found
+    return entries
 
 
 def write_files(directory: Path, data: bytes, manifest: dict) -> None:
-    """A batch as two files; the manifest comes last and by a rename, so that one that is there is whole."""
+    """Writes a batch as two files. The manifest is renamed into place last: where it exists, the batch is
+    complete."""
     directory.mkdir(parents=True, exist_ok=True)
     for name, content in (
         (f"{manifest['batch']}.parquet", data),
         (f"{manifest['batch']}.json", json.dumps(manifest).encode()),
     ):
-        part = directory / f"{name}.part"
-        with open(part, "wb") as file:
+        partial = directory / f"{name}.part"
+        with open(partial, "wb") as file:
             file.write(content)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(part, directory / name)
+        os.replace(partial, directory / name)
 
 
-async def deliver(url: str, data: bytes, manifest: dict, within: float = 10.0) -> bool:
-    """Puts a batch to a billing system; True once it says that it has it. Whether one that did not answer
-    has it is not known: the same batch is put again, and its id and digest make that harmless."""
+async def deliver(url: str, data: bytes, manifest: dict, timeout_s: float = 10.0) -> bool:
+    """Sends a batch to a billing system; True once it has confirmed the batch. Without an answer it is not
+    known whether the batch arrived: the same batch is sent again, and its id and digest make the repeat
+    harmless."""
     address, _, path = url.removeprefix("http://").partition("/")
     fields = {
         "host": address,
@@ -143,7 +145,7 @@
     }
     link = Link(address, 1.0)
     try:
-        answer = await link.ask(head(f"PUT /{path}/{manifest['batch']} HTTP/1.1", fields) + data, within)
+        answer = await link.ask(head(f"PUT /{path}/{manifest['batch']} HTTP/1.1", fields) + data, timeout_s)
     finally:
         link.close()
     return answer is not None and answer[0].status in (200, 201, 204)
--- a/lifthead/ledger/quota.py
+++ b/lifthead/ledger/quota.py
@@ -1,69 +1,72 @@
-"""A tenant's budget of tokens a period, split over routers that share nothing.
+"""A tenant's token budget per period, split over routers that share no state.
 
-Each router holds an even part. Up to the soft end nothing happens. From there on the tenant's share at this
-router, in the module's own terms, falls in a straight line to `MIN_SHARE` of itself: what it sends beyond is
-pushed back first when there is too much. At the hard end its reqs are refused before they are taken. A req
-is let in by what it may use at most, so all routers together never go over the budget by use; by what is in
-hand when a budget is lowered they may. A tenant whose reqs all come to one router gets that router's part
-alone: the price of sharing nothing, and the reason for a front layer that spreads a tenant's clients.
+Each router holds an equal part. Up to the soft limit nothing happens. Above it the tenant's share of requests
+at this router, in the terms of the decision module, falls linearly to `MIN_SHARE` of itself: under overload,
+what the tenant sends beyond that is rejected first. At the hard limit its requests are refused before they
+are taken. A request is admitted by the most that it may use, so that all routers together never exceed the
+budget through use; they may exceed it through pending requests at the moment when a budget is lowered. A
+tenant whose requests all come to one router gets only that router's part. That is the price of sharing no
+state, and the reason to have a front layer that spreads a tenant's clients over the routers.
 """
 
 from dataclasses import dataclass
 
-MIN_SHARE = 0.1  # of its share that a tenant keeps at the hard end
+MIN_SHARE = 0.1  # part of its share that a tenant keeps at the hard limit
 
 
 @dataclass(frozen=True, slots=True)
 class TokenBudget:
-    """Tokens a period, for all routers together."""
+    """Tokens per period, for all routers together."""
 
     tokens: int
-    soft: float  # part from which the share falls
+    soft: float  # used part of the budget above which the share falls
 
 
 class Quota:
-    """What one router lets each tenant use of its budget."""
+    """Enforces this router's part of each tenant's budget."""
 
     def __init__(self, budgets: dict[str, TokenBudget], routers: int) -> None:
-        self._parts = {name: budget.tokens // max(routers, 1) for name, budget in budgets.items()}
-        self._soft = {name: budget.soft for name, budget in budgets.items()}
+        self._router_budgets = {name: budget.tokens // max(routers, 1) for name, budget in budgets.items()}
+        self._soft_limits = {name: budget.soft for name, budget in budgets.items()}
         self._used: dict[str, int] = {}
-        self._in_hand: dict[str, int] = {}
+        self._reserved: dict[str, int] = {}
         self._period = ""
 
     def start_period(self, name: str, used: dict[str, int]) -> None:
-        """A period begins, or is taken up again after a start: what is used of it by now."""
+        """Begins a period, or continues one after a restart, with the tokens used of it so far."""
         self._period, self._used = name, dict(used)
 
-    def reserve(self, tenant: str, most: int) -> bool:
-        """Whether a req that may use so many tokens fits; if so, they are held until `settle`."""
-        part = self._parts.get(tenant)
-        if part is None:
+    def reserve(self, tenant: str, max_tokens: int) -> bool:
+        """Whether a request that may use this many tokens fits; if so, they are reserved until `settle`."""
+        budget = self._router_budgets.get(tenant)
+        if budget is None:
             return True
-        if self._used.get(tenant, 0) + self._in_hand.get(tenant, 0) + most > part:
+        if self._used.get(tenant, 0) + self._reserved.get(tenant, 0) + max_tokens > budget:
             return False
-        self._in_hand[tenant] = self._in_hand.get(tenant, 0) + most
+        self._reserved[tenant] = self._reserved.get(tenant, 0) + max_tokens
         return True
 
-    def settle(self, tenant: str, most: int, used: int) -> None:
-        """The req is over and has used so many of what was held for it."""
-        if tenant in self._parts:
-            self._in_hand[tenant] = max(self._in_hand.get(tenant, 0) - most, 0)
+    def settle(self, tenant: str, max_tokens: int, used: int) -> None:
+        """Replaces the reservation of a request that has ended by the tokens that it has used."""
+        if tenant in self._router_budgets:
+            self._reserved[tenant] = max(self._reserved.get(tenant, 0) - max_tokens, 0)
             self._used[tenant] = self._used.get(tenant, 0) + used
 
     def share(self, tenant: str) -> float:
-        """The part of the tenant's share of reqs that it has now."""
-        part = self._parts.get(tenant)
-        if not part:
+        """The part of its share of requests that the tenant has now."""
+        budget = self._router_budgets.get(tenant)
+        if not budget:
             return 1.0
-        gone, soft = self._used.get(tenant, 0) / part, self._soft[tenant]
-        if gone <= soft:
+        used_part, soft_limit = self._used.get(tenant, 0) / budget, self._soft_limits[tenant]
+        if used_part <= soft_limit:
             return 1.0
-        return max(1 - (1 - MIN_SHARE) * (gone - soft) / max(1 - soft, 1e-9), MIN_SHARE)
+        return max(1 - (1 - MIN_SHARE) * (used_part - soft_limit) / max(1 - soft_limit, 1e-9), MIN_SHARE)
 
     def remaining(self, tenant: str) -> int | None:
-        """Tokens that it may still use here; None without a budget."""
-        part = self._parts.get(tenant)
+        """Tokens that the tenant may still use at this router; None without a budget."""
+        budget = self._router_budgets.get(tenant)
         return (
-            None if part is None else max(part - self._used.get(tenant, 0) - self._in_hand.get(tenant, 0), 0)
+            None
+            if budget is None
+            else max(budget - self._used.get(tenant, 0) - self._reserved.get(tenant, 0), 0)
         )
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,5 +1,4 @@
-"""The ledger: a crash at every call on the disk, damage, periods, exports, budgets, kills of real
-processes."""
+"""The ledger: crashes at every disk call, damage, periods, exports, budgets, and kills of real processes."""
 
 import asyncio
 import errno
@@ -33,8 +32,8 @@
 from lifthead.standins.stage import Stage
 
 
-def used(number, period="2026-12", tenant="t", answer=10, **more):
-    told = {
+def usage(number, period="2026-12", tenant="t", answer=10, **more):
+    fields = {
         "ended": "done",
         "first_token_sent": True,
         "prompt": 100,
@@ -46,7 +45,7 @@
         "read_anew": 0,
     } | more
     return entries.usage_entry(
-        request_id=f"r-a-{number}", at=number, period=period, tenant=tenant, group="g", **told
+        request_id=f"r-a-{number}", at=number, period=period, tenant=tenant, group="g", **fields
     )
 
 
@@ -67,24 +66,24 @@
 
 
 class CrashError(OSError):
-    """The machine stops at this call."""
+    """The machine crashes at this disk call."""
 
 
 class MemoryDisk:
-    """A disk that forgets what was not synced, and fails at its n-th call if told to."""
+    """A disk that loses what was not synced in a crash, and fails at its `fail_at`-th call."""
 
     def __init__(self, fail_at=0, crash=True, seed=1):
-        self.files, self.sure, self.gone_names = {}, {}, {}
-        self.sure_names = set()
-        self.calls, self.fail_at, self.crash_, self.chance = 0, fail_at, crash, random.Random(seed)
-        self.dead = False
+        self.files, self.synced_bytes, self.renamed_from = {}, {}, {}
+        self.synced_names = set()
+        self.calls, self.fail_at, self.stays_down, self.rng = 0, fail_at, crash, random.Random(seed)
+        self.crashed = False
 
-    def _call(self, partly=None):
+    def _call(self, partial_write=None):
         self.calls += 1
-        if self.dead or self.calls == self.fail_at:
-            self.dead = self.crash_
-            if partly:
-                partly()
+        if self.crashed or self.calls == self.fail_at:
+            self.crashed = self.stays_down
+            if partial_write:
+                partial_write()
             raise CrashError("the disk fails")
 
     def names(self):
@@ -95,19 +94,19 @@
 
     def append(self, name, data):
         def torn():
-            self.files.setdefault(name, bytearray()).extend(data[: self.chance.randint(0, len(data))])
+            self.files.setdefault(name, bytearray()).extend(data[: self.rng.randint(0, len(data))])
 
         self._call(torn)
         self.files.setdefault(name, bytearray()).extend(data)
 
     def sync(self, name):
         self._call()
-        self.sure[name] = len(self.files[name])
+        self.synced_bytes[name] = len(self.files[name])
 
     def rename(self, name, to):
         self._call()
-        self.files[to], self.sure[to] = self.files.pop(name), self.sure.pop(name, 0)
-        self.gone_names[to] = name
+        self.files[to], self.synced_bytes[to] = self.files.pop(name), self.synced_bytes.pop(name, 0)
+        self.renamed_from[to] = name
 
     def remove(self, name):
         self._call()
@@ -115,95 +114,95 @@
 
     def sync_names(self):
         self._call()
-        self.sure_names = set(self.files)
+        self.synced_names = set(self.files)
 
     def after_crash(self):
-        """What a machine finds that starts again: synced bytes, some of the others, names that were
-        synced."""
-        found = MemoryDisk(seed=self.chance.random())
+        """The disk after a restart of the machine: synced bytes, some of the others, and synced names."""
+        restarted = MemoryDisk(seed=self.rng.random())
         for name, data in self.files.items():
-            if name not in self.sure_names and self.chance.random() < 0.5:
+            if name not in self.synced_names and self.rng.random() < 0.5:
                 continue
-            sure = self.sure.get(name, 0)
-            keep = self.chance.randint(sure, len(data))
-            found.files[name] = bytearray(data[:keep])
-            found.sure[name] = keep
-        found.sure_names = set(found.files)
-        return found
+            synced = self.synced_bytes.get(name, 0)
+            size = self.rng.randint(synced, len(data))
+            restarted.files[name] = bytearray(data[:size])
+            restarted.synced_bytes[name] = size
+        restarted.synced_names = set(restarted.files)
+        return restarted
 
 
-def script_of(disk):
-    """A ledger's life on this disk: what was acknowledged, in order, until the disk fails."""
-    acknowledged, tried = [], []
+def run_ledger(disk):
+    """Runs a ledger on this disk until the disk fails. Returns the acknowledged and the attempted entries."""
+    acknowledged, attempted = [], []
     try:
-        found = Journal(disk, "one")
+        ledger = Journal(disk, "one")
         for step in range(24):
-            group = [used(step * 10 + n) for n in range(1 + step % 3)]
-            tried += group
-            found.append(group)
+            group = [usage(step * 10 + n) for n in range(1 + step % 3)]
+            attempted += group
+            ledger.append(group)
             acknowledged += group
             if step % 5 == 4:
-                planned, _, _ = plan_batch(found, 1)
-                record_delivery(found, planned, 1)
+                planned, _, _ = plan_batch(ledger, 1)
+                record_delivery(ledger, planned, 1)
             if step % 7 == 6:
-                found.compact(force=True)
+                ledger.compact(force=True)
     except CrashError:
         pass
-    return acknowledged, tried
+    return acknowledged, attempted
 
 
-def usages(found):
-    return [entry for _, entry in found.entries(1) if isinstance(entry, Usage)]
+def usages(ledger):
+    return [entry for _, entry in ledger.entries(1) if isinstance(entry, Usage)]
 
 
 def test_a_crash_at_every_call_leaves_a_prefix_and_loses_nothing_acknowledged(monkeypatch):
     monkeypatch.setattr(journal, "SEGMENT_BYTES", 700)  # many segments
     whole = MemoryDisk()
-    script_of(whole)
+    run_ledger(whole)
     assert whole.calls > 100
     for call in range(1, whole.calls + 1):
         disk = MemoryDisk(fail_at=call, seed=call)
-        acknowledged, tried = script_of(disk)
+        acknowledged, attempted = run_ledger(disk)
         after = Journal(disk.after_crash(), "other")
         total = sum(each.reqs for each in after.book.sums.values())
-        assert len(acknowledged) <= total <= len(tried) and not after.missing, call
+        assert len(acknowledged) <= total <= len(attempted) and not after.missing, call
         first = total - len(usages(after))  # those that were exported may be compacted away
-        assert usages(after) == tried[first:total]
+        assert usages(after) == attempted[first:total]
         assert first <= after.book.exported
-        after.append([used(999_999)])  # and it goes on
+        after.append([usage(999_999)])  # the ledger still accepts entries
         assert sum(each.reqs for each in Journal(after._disk, "x").book.sums.values()) == total + 1
 
 
 def test_a_failed_write_does_not_count_and_the_next_ones_do(monkeypatch):
-    """A full disk in mid-write, then room again: no crash, one entry refused, none doubled."""
+    """A disk that is full in the middle of a write and then has space again: the failed entries don't count,
+    and none counts twice."""
     monkeypatch.setattr(journal, "SEGMENT_BYTES", 700)
     whole = MemoryDisk()
-    script_of(whole)
+    run_ledger(whole)
     for call in range(5, whole.calls + 1, 3):
         disk = MemoryDisk(fail_at=call, crash=False, seed=call)
-        found, kept = Journal(disk, "one"), []
+        ledger, acknowledged = Journal(disk, "one"), []
         for step in range(30):
-            group = [used(step * 10 + n) for n in range(1 + step % 3)]
+            group = [usage(step * 10 + n) for n in range(1 + step % 3)]
             try:
-                found.append(group)
-                kept += group
-                found.compact(force=step % 7 == 6)
+                ledger.append(group)
+                acknowledged += group
+                ledger.compact(force=step % 7 == 6)
             except CrashError:
                 continue
-        again = Journal(disk, "x")
-        assert usages(again) == kept and not again.missing
-        assert again.book.sums == found.book.sums
+        reopened = Journal(disk, "x")
+        assert usages(reopened) == acknowledged and not reopened.missing
+        assert reopened.book.sums == ledger.book.sums
 
 
 @pytest.mark.parametrize("what", ["flipped bit", "missing segment", "bad snapshot", "torn snapshot"])
-def test_damage_is_named_and_the_rest_is_read(monkeypatch, what):
+def test_damage_is_reported_and_the_rest_is_read(monkeypatch, what):
     monkeypatch.setattr(journal, "SEGMENT_BYTES", 700)
     disk = MemoryDisk()
-    found = Journal(disk, "one")
+    ledger = Journal(disk, "one")
     for number in range(30):
-        found.append([used(number)])
+        ledger.append([usage(number)])
     if what.endswith("snapshot"):
-        found.compact(force=True)
+        ledger.compact(force=True)
     segments = [name for name in disk.names() if name.startswith("seg-")]
     snapshots = [name for name in disk.names() if name.startswith("snap-")]
     if what == "flipped bit":
@@ -213,12 +212,12 @@
     else:
         data = disk.files[snapshots[0]]
         disk.files[snapshots[0]] = data[:9] if what == "torn snapshot" else data[:-1] + b"\xff"
-    again = Journal(disk, "x")
+    reopened = Journal(disk, "x")
     if what.endswith("snapshot"):
-        assert again.missing == [] and again.book.last == 30
+        assert reopened.missing == [] and reopened.book.last == 30
         return
-    lost = sum(last - first + 1 for first, last in again.missing)
-    assert again.missing and again.book.sums["2026-12", "t", "g"].reqs == 30 - lost
+    lost = sum(last - first + 1 for first, last in reopened.missing)
+    assert reopened.missing and reopened.book.sums["2026-12", "t", "g"].reqs == 30 - lost
     assert lost == 1 if what == "flipped bit" else 1 < lost < 10
 
 
@@ -239,60 +238,60 @@
 @settings(max_examples=80, deadline=None, derandomize=True)
 @given(STEPS)
 def test_any_order_of_entries_corrections_closes_exports_and_kills(steps):
-    """Beside a plain model: what was acknowledged counts once, closed periods stay, batches land once
-    each."""
+    """Compared with a simple model: acknowledged entries count once, closed periods do not change, and each
+    batch has one content."""
     disk, number, period = MemoryDisk(), 0, "2026-01"
-    found, model, closed, fixes, got = Journal(disk, "one"), Counter(), {}, [], {}
+    ledger, model, closed, corrections, digests = Journal(disk, "one"), Counter(), {}, [], {}
 
-    def take(batch_file, manifest):
-        assert got.setdefault(manifest["batch"], manifest["digest"]) == manifest["digest"]
+    def receive(batch_file, manifest):
+        assert digests.setdefault(manifest["batch"], manifest["digest"]) == manifest["digest"]
         files[manifest["batch"]] = batch_file
 
     files = {}
-    for what, value in steps:
+    for action, value in steps:
         number += 1
-        if what == "use":
-            entry = used(number, found.book.open_period(period), answer=value)
-            found.append([entry])
+        if action == "use":
+            entry = usage(number, ledger.book.open_period(period), answer=value)
+            ledger.append([entry])
             model[entry.period] += value
-        elif what == "correct":
-            entry = correction(f"c{number}", found.book.open_period(period), value)
-            found.append([entry])
+        elif action == "correct":
+            entry = correction(f"c{number}", ledger.book.open_period(period), value)
+            ledger.append([entry])
             model[entry.period] += value
-            fixes.append((entry.id, value))
-        elif what == "reverse" and fixes:
-            of, amount = fixes[value % len(fixes)]
-            entry = found.book.reversal(of, f"c{number}", number, period, "back")
+            corrections.append((entry.id, value))
+        elif action == "reverse" and corrections:
+            of, amount = corrections[value % len(corrections)]
+            entry = ledger.book.reversal(of, f"c{number}", number, period, "back")
             try:
-                found.book.check(entry)
+                ledger.book.check(entry)
             except RefusedError:
                 continue
-            found.append([entry])
+            ledger.append([entry])
             model[entry.period] -= amount
-            fixes.append((entry.id, -amount))
-        elif what == "close":
-            period = found.book.open_period(period)
-            found.append([Closed(id=f"z{number}", at=number, period=period)])
+            corrections.append((entry.id, -amount))
+        elif action == "close":
+            period = ledger.book.open_period(period)
+            ledger.append([Closed(id=f"z{number}", at=number, period=period)])
             closed[period] = model[period]
-        elif what == "export":
-            planned, data, manifest = plan_batch(found, number)
+        elif action == "export":
+            planned, data, manifest = plan_batch(ledger, number)
             if planned:
-                take(data, manifest)
-                if value:  # else killed before it was noted: it is sent again
-                    record_delivery(found, planned, number)
-        elif what == "kill":
+                receive(data, manifest)
+                if value:  # else killed before the delivery was recorded: the batch is sent again
+                    record_delivery(ledger, planned, number)
+        elif action == "kill":
             disk = disk.after_crash()
-            found = Journal(disk, "one")
-        elif what == "tidy":
-            found.compact(force=True)
+            ledger = Journal(disk, "one")
+        elif action == "tidy":
+            ledger.compact(force=True)
     answers = Counter()
-    for (when, _, _), each in found.book.sums.items():
+    for (when, _, _), each in ledger.book.sums.items():
         answers[when] += each.answer
-    assert +answers == +model and -answers == -model and not found.missing
+    assert +answers == +model and -answers == -model and not ledger.missing
     assert all(answers[when] == amount for when, amount in closed.items())
-    while (planned := plan_batch(found, number))[0]:
-        take(planned[1], planned[2])
-        record_delivery(found, planned[0], number)
+    while (planned := plan_batch(ledger, number))[0]:
+        receive(planned[1], planned[2])
+        record_delivery(ledger, planned[0], number)
     merged = MergedEntries()
     for file in files.values():
         merged.add(export.read_entries(file)).add(export.read_entries(file))
@@ -303,21 +302,21 @@
 
 
 @pytest.mark.parametrize(
-    ("entry", "said"),
+    ("entry", "message"),
     [
-        (used(1, "2026-11"), "period 2026-11 is closed"),
+        (usage(1, "2026-11"), "period 2026-11 is closed"),
         (correction("k", "2026-11"), "period 2026-11 is closed"),
-        (Closed(id="z", at=1, period="2026-11"), "closed already"),
-        (correction("c1"), "stands already"),
+        (Closed(id="z", at=1, period="2026-11"), "already closed"),
+        (correction("c1"), "already exists"),
         (correction("c9", reverses="c7"), "no correction 'c7'"),
-        (correction("c9", answer=4, reverses="c1"), "amounts with the other sign"),
-        (correction("c9", answer=5, reverses="c0"), "reversed already"),
+        (correction("c9", answer=4, reverses="c1"), "amounts of c1 with the opposite sign"),
+        (correction("c9", answer=5, reverses="c0"), "already reversed"),
         (entries.Delivered(id="b", at=1, first=7, last=9), "begins at 7, expected 1"),
         (entries.Planned(id="b", at=1, first=1, last=99), "is 1 to 99"),
     ],
 )
-def test_what_does_not_fit_is_refused(entry, said):
-    found = Book()
+def test_entries_that_do_not_fit_are_refused(entry, message):
+    state = Book()
     for number, each in enumerate(
         [
             Closed(id="z0", at=1, period="2026-11"),
@@ -327,14 +326,14 @@
         ],
         1,
     ):
-        found.check(each)
-        found.apply(number, each)
-    with pytest.raises(RefusedError, match=said):
-        found.check(entry)
+        state.check(each)
+        state.apply(number, each)
+    with pytest.raises(RefusedError, match=message):
+        state.check(entry)
 
 
 @pytest.mark.parametrize(
-    ("ended", "begun", "tokens"),
+    ("ended", "first_token_sent", "tokens"),
     [
         ("done", True, (100, 7)),
         ("done", False, (100, 7)),
@@ -345,8 +344,8 @@
         ("pushed back", False, (0, 0)),
     ],
 )
-def test_what_is_billed_when(ended, begun, tokens):
-    assert entries.billed_tokens(ended, begun, 100, 7) == tokens
+def test_billed_tokens_by_final_answer(ended, first_token_sent, tokens):
+    assert entries.billed_tokens(ended, first_token_sent, 100, 7) == tokens
 
 
 @pytest.mark.parametrize(
@@ -364,7 +363,7 @@
 @pytest.mark.parametrize(
     ("period", "after"), [("2026-12", "2027-01"), ("2026-11", "2026-12"), ("2026-02-28", "2026-03-01")]
 )
-def test_the_following_period(period, after):
+def test_the_next_period(period, after):
     assert book.next_period(period) == after
 
 
@@ -375,43 +374,45 @@
 )
 def test_all_routers_together_never_use_more_than_the_budget(routers, tokens, reqs):
     quotas = [Quota({"t": TokenBudget(tokens, 0.8)}, routers) for _ in range(routers)]
-    spent, out = 0, []
-    for at, most, part in reqs:
+    total_used, open_requests = 0, []
+    for at, max_tokens, part in reqs:
         quota = quotas[at % routers]
-        if quota.reserve("t", most):
-            out.append((quota, most, round(most * part)))
-        if len(out) > 3:
-            quota, most, really = out.pop(0)
-            quota.settle("t", most, really)
-            spent += really
+        if quota.reserve("t", max_tokens):
+            open_requests.append((quota, max_tokens, round(max_tokens * part)))
+        if len(open_requests) > 3:
+            quota, max_tokens, used_tokens = open_requests.pop(0)
+            quota.settle("t", max_tokens, used_tokens)
+            total_used += used_tokens
         assert quota.reserve("other", 10**9) and quota.share("other") == 1.0
-    spent += sum(really for _, _, really in out)
-    assert spent <= tokens
+    total_used += sum(used_tokens for _, _, used_tokens in open_requests)
+    assert total_used <= tokens
 
 
 @pytest.mark.parametrize(
-    ("gone", "share"), [(0, 1.0), (800, 1.0), (900, 1 - (1 - MIN_SHARE) / 2), (1000, MIN_SHARE)]
+    ("used_tokens", "share"), [(0, 1.0), (800, 1.0), (900, 1 - (1 - MIN_SHARE) / 2), (1000, MIN_SHARE)]
 )
-def test_a_share_falls_from_the_soft_end_on(gone, share):
+def test_a_share_falls_above_the_soft_limit(used_tokens, share):
     quota = Quota({"t": TokenBudget(2000, 0.8)}, 2)
-    quota.start_period("2026-12", {"t": gone})
-    assert quota.share("t") == pytest.approx(share) and quota.remaining("t") == 1000 - gone
-    assert quota.reserve("t", 1000 - gone) and not quota.reserve("t", 1)
+    quota.start_period("2026-12", {"t": used_tokens})
+    assert quota.share("t") == pytest.approx(share) and quota.remaining("t") == 1000 - used_tokens
+    assert quota.reserve("t", 1000 - used_tokens) and not quota.reserve("t", 1)
 
 
 def test_exports_merge_in_any_order_and_differences_are_explained():
-    one, two = [used(1), used(2, resumes=1)], [used(3), used(4, ended="left")]
-    wrote = {"r-a-1.0": 10, "r-a-2.0": 4, "r-a-2.1": 9, "r-a-3.0": 7, "r-a-4.0": 10, "r-a-9.0": 5}
+    one, two = [usage(1), usage(2, resumes=1)], [usage(3), usage(4, ended="left")]
+    decoded = {"r-a-1.0": 10, "r-a-2.0": 4, "r-a-2.1": 9, "r-a-3.0": 7, "r-a-4.0": 10, "r-a-9.0": 5}
     reports = [
-        reconcile.compare(MergedEntries().add(a).add(b).add(a), wrote) for a, b in ((one, two), (two, one))
+        reconcile.compare(MergedEntries().add(a).add(b).add(a), decoded) for a, b in ((one, two), (two, one))
     ]
     assert reports[0] == reports[1] and reports[0].agree == {"t": 2}
-    whys = {each.request_id: each.why for each in reports[0].differ}
+    reasons = {each.request_id: each.why for each in reports[0].differ}
     assert (
-        set(whys) == {"r-a-2", "r-a-3", "r-a-9"} and "missing" in whys["r-a-3"] and "killed" in whys["r-a-9"]
+        set(reasons) == {"r-a-2", "r-a-3", "r-a-9"}
+        and "missing" in reasons["r-a-3"]
+        and "killed" in reasons["r-a-9"]
     )
     with pytest.raises(ConflictError):
-        MergedEntries().add(one).add([used(1, answer=11)])
+        MergedEntries().add(one).add([usage(1, answer=11)])
 
 
 LEDGER = SCRIPT + "ledger(wait = True)\n"
@@ -422,27 +423,27 @@
         return lambda *args, **fields: None
 
 
-def test_an_answer_ends_only_once_its_entry_is_on_the_disk(tmp_path):
+def test_an_answer_ends_only_after_its_entry_is_on_the_disk(tmp_path):
     async def play():
         async with Loopback(tmp_path, text=LEDGER) as loop:
             write = loop._group.create_task(loop.daemon.keeper.run_writer())
             disk = loop.daemon.keeper.journal._disk
             sync = disk.sync
-            tries = [asyncio.create_task(raw(loop.address, http(body("x", stream=True)))) for _ in range(8)]
-            answers = await asyncio.gather(*tries)
+            calls = [asyncio.create_task(raw(loop.address, http(body("x", stream=True)))) for _ in range(8)]
+            answers = await asyncio.gather(*calls)
             assert all(texts(answer)[1] == b"[DONE]" for answer in answers)
-            kept = usages(loop.daemon.keeper.journal)
-            assert len(kept) == 8 and {entry.billed_answer for entry in kept} == {kept[0].sent}
+            recorded = usages(loop.daemon.keeper.journal)
+            assert len(recorded) == 8 and {entry.billed_answer for entry in recorded} == {recorded[0].sent}
 
             def full(name):
                 raise OSError(28, "No space left on device")
 
             disk.sync = full
-            slow = asyncio.create_task(raw(loop.address, http(body("y", stream=True)), within=12))
+            delayed = asyncio.create_task(raw(loop.address, http(body("y", stream=True)), within=12))
             await loop.until(lambda: loop.daemon.keeper.unwritable)
             assert b"can't write its ledger" in await raw(loop.address, http(body("z")))
             disk.sync = sync
-            assert texts(await slow)[1] == b"[DONE]"
+            assert texts(await delayed)[1] == b"[DONE]"
             await loop.until(lambda: not loop.daemon.keeper.unwritable)
             assert len(usages(loop.daemon.keeper.journal)) == 9
             write.cancel()
@@ -450,76 +451,77 @@
     run(play())
 
 
-def test_a_stop_beside_a_write_under_way_writes_each_entry_once(tmp_path):
-    """What waits is taken once the disk is free: the write before may have ended with it."""
+def test_a_stop_during_a_write_writes_each_entry_once(tmp_path):
+    """`close` reads the queue only once the disk is free: the write in progress may have written the same
+    entries."""
 
     async def play():
-        found = Journal(DiskDirectory(tmp_path), "one")
-        clerk = keeper.LedgerWriter(found, LedgerTerms(), Log(), lambda lost: None)
-        begun, may_end, sync = threading.Event(), threading.Event(), found._disk.sync
+        ledger = Journal(DiskDirectory(tmp_path), "one")
+        writer = keeper.LedgerWriter(ledger, LedgerTerms(), Log(), lambda lost: None)
+        begun, may_end, sync = threading.Event(), threading.Event(), ledger._disk.sync
 
         def slow(name):
             begun.set()
             may_end.wait(5)
             sync(name)
 
-        found._disk.sync = slow
-        write = asyncio.create_task(clerk.run_writer())
-        before = [clerk.append(used(number)) for number in range(3)]
+        ledger._disk.sync = slow
+        write = asyncio.create_task(writer.run_writer())
+        before = [writer.append(usage(number)) for number in range(3)]
         await asyncio.to_thread(begun.wait, 5)
-        late = clerk.append(used(3))
-        stop = asyncio.create_task(clerk.close())
+        late = writer.append(usage(3))
+        stop = asyncio.create_task(writer.close())
         await asyncio.sleep(0.01)
         may_end.set()
         await stop
         write.cancel()
-        assert all(each.is_set() for each in (*before, late)) and not clerk.unbilled
+        assert all(each.is_set() for each in (*before, late)) and not writer.unbilled
 
     run(play())
     assert [entry.id for entry in usages(Journal(DiskDirectory(tmp_path), "x"))] == [
-        used(number).id for number in range(4)
+        usage(number).id for number in range(4)
     ]
 
 
-def test_a_disk_that_was_full_under_an_export_refuses_no_requests_afterwards(tmp_path):
-    """With nothing to write down, no later write would have shown that there is room again."""
+def test_a_disk_that_was_full_during_an_export_leads_to_no_refused_requests(tmp_path):
+    """Without new entries, no later write would show that the disk has space again."""
 
     async def play():
         billing = Billing(tmp_path / "billing")
         server = await asyncio.start_server(billing.connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
-        found = Journal(DiskDirectory(tmp_path / "ledger"), "one")
-        found.append([used(number) for number in range(4)])
-        terms, sync, failed = LedgerTerms(export_to=url, export_every=Micros(10_000)), found._disk.sync, []
+        ledger = Journal(DiskDirectory(tmp_path / "ledger"), "one")
+        ledger.append([usage(number) for number in range(4)])
+        terms, sync, failed = LedgerTerms(export_to=url, export_every=Micros(10_000)), ledger._disk.sync, []
 
         def full(name):
             failed.append(name)
             raise OSError(errno.ENOSPC, "No space left on device")
 
-        found._disk.sync = full
-        clerk = keeper.LedgerWriter(found, terms, Log(), lambda lost: None)
-        export = asyncio.create_task(clerk.run_exports())
+        ledger._disk.sync = full
+        writer = keeper.LedgerWriter(ledger, terms, Log(), lambda lost: None)
+        export = asyncio.create_task(writer.run_exports())
         async with asyncio.timeout(5):
             while len(failed) < 3:
                 await asyncio.sleep(0.01)
-            found._disk.sync = sync
-            while found.book.exported < 4:
+            ledger._disk.sync = sync
+            while ledger.book.exported < 4:
                 await asyncio.sleep(0.01)
         export.cancel()
         server.close()
-        assert not clerk.refuses_requests
+        assert not writer.refuses_requests
 
     run(play())
 
 
-def test_a_budget_ends_before_a_req_is_taken(tmp_path):
+def test_a_request_beyond_the_budget_is_refused(tmp_path):
     async def play():
         text = LEDGER + 'budget("t", tokens = 200, soft = 0.5)\n'
         async with Loopback(tmp_path, text=text) as loop:
             write = loop._group.create_task(loop.daemon.keeper.run_writer())
-            ends = [await raw(loop.address, http(body("x" * 200, max_tokens=20))) for _ in range(6)]
-            status = [int(answer.split()[1]) for answer in ends]
-            assert status[0] == 200 and status[-1] == 429 and b"insufficient_quota" in ends[-1]
+            responses = [await raw(loop.address, http(body("x" * 200, max_tokens=20))) for _ in range(6)]
+            status = [int(answer.split()[1]) for answer in responses]
+            assert status[0] == 200 and status[-1] == 429 and b"insufficient_quota" in responses[-1]
             assert loop.daemon.biller.shares()["t"] < 1
             assert loop.daemon.keeper.journal.book.tokens_used(loop.daemon.keeper.period(), "t") <= 200
             write.cancel()
@@ -528,7 +530,7 @@
 
 
 @pytest.mark.parametrize("kind", ["fails", "silent", "slow"])
-def test_batches_land_once_each_whatever_the_billing_system_does(tmp_path, kind, monkeypatch):
+def test_each_batch_is_accepted_once_whatever_the_billing_system_does(tmp_path, kind, monkeypatch):
     monkeypatch.setattr(book, "MAX_BATCH_ENTRIES", 7)
     monkeypatch.setattr(export.deliver, "__defaults__", (0.2,))
 
@@ -536,37 +538,37 @@
         billing = Billing(tmp_path / "billing", **{kind: 0.3})
         server = await asyncio.start_server(billing.connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
-        found = Journal(DiskDirectory(tmp_path / "ledger"), "one")
-        found.append([used(number) for number in range(40)])
-        clerk = keeper.LedgerWriter(found, LedgerTerms(export_to=url), Log(), lambda lost: None)
+        ledger = Journal(DiskDirectory(tmp_path / "ledger"), "one")
+        ledger.append([usage(number) for number in range(40)])
+        writer = keeper.LedgerWriter(ledger, LedgerTerms(export_to=url), Log(), lambda lost: None)
         for _ in range(200):
-            if not await clerk.export_batch() and not found.book.planned:
+            if not await writer.export_batch() and not ledger.book.planned:
                 break
-        assert found.book.exported >= 40 and not found.book.planned
+        assert ledger.book.exported >= 40 and not ledger.book.planned
         merged = MergedEntries()
         for path in (tmp_path / "billing").glob("*.parquet"):
             merged.add(export.read_entries(path))
         assert len(merged.entries) == 40
-        said = [line["ev"] for line in lines(tmp_path / "billing" / "billing.jsonl")]
-        assert "conflict" not in said and (kind != "fails" or "failed" in said)
+        events = [line["ev"] for line in lines(tmp_path / "billing" / "billing.jsonl")]
+        assert "conflict" not in events and (kind != "fails" or "failed" in events)
         server.close()
 
     run(play())
 
 
-def test_two_processes_cannot_have_one_ledger(tmp_path):
+def test_two_processes_cannot_open_one_ledger(tmp_path):
     first = keeper.open_journal(tmp_path)
     with pytest.raises(keeper.LockedError):
         keeper.open_journal(tmp_path)
     assert first.name
 
 
-def test_the_commands(tmp_path):
-    found = Journal(DiskDirectory(tmp_path / "led"), "one")
-    found.append([used(number, tenant="depot") for number in range(5)])
-    led = ["--dir", tmp_path / "led"]
-    shown = json.loads(lifthead("ledger", "show", *led, "--json").stdout)
-    assert shown["sums"] == [
+def test_the_ledger_commands(tmp_path):
+    ledger = Journal(DiskDirectory(tmp_path / "led"), "one")
+    ledger.append([usage(number, tenant="depot") for number in range(5)])
+    dir_option = ["--dir", tmp_path / "led"]
+    totals = json.loads(lifthead("ledger", "show", *dir_option, "--json").stdout)
+    assert totals["sums"] == [
         {
             "period": "2026-12",
             "tenant": "depot",
@@ -577,9 +579,9 @@
             "read_anew": 0,
         }
     ]
-    assert lifthead("ledger", "close", "2026-12", *led).returncode == 0
-    assert lifthead("ledger", "close", "2026-12", *led).returncode == 2
-    fix = [
+    assert lifthead("ledger", "close", "2026-12", *dir_option).returncode == 0
+    assert lifthead("ledger", "close", "2026-12", *dir_option).returncode == 2
+    correct = [
         "ledger",
         "correct",
         "depot",
@@ -590,33 +592,33 @@
         "-7",
         "--why",
         "test",
-        *led,
+        *dir_option,
         "--json",
     ]
-    fixed = json.loads(lifthead(*fix).stdout)
+    fixed = json.loads(lifthead(*correct).stdout)
     assert fixed["period"] != "2026-12" and fixed["answer"] == -7
-    back = json.loads(
-        lifthead("ledger", "correct", "--reverses", fixed["id"], "--why", "no", *led, "--json").stdout
+    reversal = json.loads(
+        lifthead("ledger", "correct", "--reverses", fixed["id"], "--why", "no", *dir_option, "--json").stdout
     )
-    assert back["answer"] == 7 and back["reverses"] == fixed["id"]
+    assert reversal["answer"] == 7 and reversal["reverses"] == fixed["id"]
     out = tmp_path / "out"
-    assert lifthead("ledger", "export", *led, "--to", out).returncode == 0
+    assert lifthead("ledger", "export", *dir_option, "--to", out).returncode == 0
     assert len(list(out.glob("*.parquet"))) == 1 and len(list(out.glob("*.json"))) == 1
-    assert lifthead("ledger", "verify", *led).returncode == 0
-    seg = next(path for path in sorted((tmp_path / "led").glob("seg-*")) if path.stat().st_size > 200)
-    data = bytearray(seg.read_bytes())
+    assert lifthead("ledger", "verify", *dir_option).returncode == 0
+    segment = next(path for path in sorted((tmp_path / "led").glob("seg-*")) if path.stat().st_size > 200)
+    data = bytearray(segment.read_bytes())
     data[30] ^= 1
-    seg.write_bytes(data)
-    damaged = lifthead("ledger", "verify", *led, "--json")
+    segment.write_bytes(data)
+    damaged = lifthead("ledger", "verify", *dir_option, "--json")
     assert damaged.returncode == 1 and json.loads(damaged.stdout)["missing"] == [[1, 1]]
 
 
 def kill_round(path, seed):
-    """Three routers under load, killed at random in traffic and export; then what billing got, beside the
-    rest."""
+    """Kills three routers at random under load and during exports, then compares what the billing system
+    received with the clients' and the engines' counts."""
 
     async def play():
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         billing = Billing(path / "billing", seed, fails=0.2, silent=0.1, slow=0.02)
         server = await asyncio.start_server(billing.connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
@@ -625,23 +627,23 @@
         file = path / "fleet.star"
         file.write_text(text)
         stage = Stage(script.read(file), file, path, seed)
-        seen = []
+        received = []
 
         async def client(number):
-            said = body(f"{seed} {number}", stream=True, max_tokens=30)
-            name = chance.choice(sorted(stage.routers) or ["r0"])
+            chat = body(f"{seed} {number}", stream=True, max_tokens=30)
+            name = rng.choice(sorted(stage.routers) or ["r0"])
             at = stage.address(name) if name in stage.routers else "127.0.0.1:1"
             try:
-                answer = await raw(at, http(said), within=8)
+                answer = await raw(at, http(chat), within=8)
             except (OSError, TimeoutError):
                 return
             if b"[DONE]" in answer:
-                req = next(
+                request_id = next(
                     line for line in answer.split(b"\r\n") if line.startswith(b"x-request-id:")
                 ).split()[1]
-                seen.append(
+                received.append(
                     (
-                        req.decode(),
+                        request_id.decode(),
                         sum(
                             b'"content": "' in part and b'"content": ""' not in part
                             for part in answer.split(b"data: ")
@@ -656,13 +658,13 @@
                     tasks.create_task(client(number))
                     await asyncio.sleep(0.012)
                     if number % 60 == 40:
-                        name = chance.choice(sorted(stage.routers))
+                        name = rng.choice(sorted(stage.routers))
                         await stage.end(name, signal.SIGKILL)
                         tasks.create_task(stage.start_router(name))
             await stage.close()
         finally:
             await stage.abandon()
-        for at in range(3):  # what the kills left in their ledgers goes out
+        for at in range(3):  # exports what the kills left in the ledgers
             done = await asyncio.to_thread(
                 lifthead, "ledger", "export", "--dir", path / f"ledger-r{at}", "--to", url
             )
@@ -671,39 +673,39 @@
                     lifthead, "ledger", "export", "--dir", path / f"ledger-r{at}", "--to", url
                 )
         server.close()
-        return seen
+        return received
 
-    seen = asyncio.run(asyncio.wait_for(play(), 90))
+    received = asyncio.run(asyncio.wait_for(play(), 90))
     merged = MergedEntries()
-    for found in (path / "billing").glob("*.parquet"):
-        merged.add(export.read_entries(found))
+    for batch_path in (path / "billing").glob("*.parquet"):
+        merged.add(export.read_entries(batch_path))
     records = lines(path / "billing" / "billing.jsonl")
     assert not [line for line in records if line["ev"] == "conflict"]
-    wrote = {
+    decoded = {
         line["id"]: line["tokens"]
-        for found in path.glob("engine-*.jsonl")
-        for line in lines(found)
+        for record_path in path.glob("engine-*.jsonl")
+        for line in lines(record_path)
         if line["ev"] == "wrote"
     }
-    assert len(seen) > 100
-    for (
-        req,
-        tokens,
-    ) in seen:  # each answer that a client has whole is billed, by its own count and the engine's
+    assert len(received) > 100
+    # Each answer that a client received in full is billed by the client's own count and the engine's.
+    for request_id, tokens in received:
         assert (
-            merged.entries[req].billed_answer == tokens == wrote[f"{req}.{merged.entries[req].forwards - 1}"]
-        ), req
+            merged.entries[request_id].billed_answer
+            == tokens
+            == decoded[f"{request_id}.{merged.entries[request_id].forwards - 1}"]
+        ), request_id
     done = {name for name, entry in merged.entries.items() if entry.ended == "done"}
-    lost = done - {req for req, _ in seen}
-    assert len(lost) <= 24  # sure on the disk, and the router killed before the client had its end
-    report = reconcile.compare(merged, wrote)
+    unreceived = done - {request_id for request_id, _ in received}
+    assert len(unreceived) <= 24  # on the disk, but the router was killed before the client had the end
+    report = reconcile.compare(merged, decoded)
     assert not [
         each for each in report.differ if each.why in ("not explained", "an engine's count is missing")
     ]
-    assert sum(report.agree.values()) >= len(seen)
-    return len(seen), len(merged.entries), len(lost)
+    assert sum(report.agree.values()) >= len(received)
+    return len(received), len(merged.entries), len(unreceived)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_three_routers_killed_in_traffic_and_export(tmp_path, seed):
+def test_three_routers_killed_under_load_and_during_exports(tmp_path, seed):
     kill_round(Path(tmp_path), seed)
