--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -326,24 +326,24 @@
     """Restart engines and routers in turn, with a drain before and a slow start after; exit 1 if it stops."""
     from lifthead.deployment.durations import parse_duration
     from lifthead.members import rolling
-    from lifthead.members.drains import SelectorError, named
+    from lifthead.members.drains import SelectorError, select_by_labels
     from lifthead.members.roll import Plan, refusal
 
-    async def run_roll(roll_state: rolling.Place) -> str:
+    async def run_roll(roll_state: rolling.RollFile) -> str:
         saved = roll_state.read()
         if forget:
             roll_state.forget()
             return ""
         if resume != (saved is not None):
-            raise rolling.BusyError(
+            raise rolling.RollBusyError(
                 f"{roll_state.path}: a roll is not finished: use --resume or --forget"
                 if saved
                 else "there is no roll to resume"
             )
         if saved is None:
-            fleet_watch = rolling.Lookout(run)
-            facts = await fleet_watch.facts()
-            engines = [] if selector == "-" else named(selector, fleet_watch.places)
+            fleet_watch = rolling.FleetObserver(run)
+            facts = await fleet_watch.observe()
+            engines = [] if selector == "-" else select_by_labels(selector, fleet_watch.labels)
             chosen_routers = (
                 sorted(facts.routers) if routers == "all" else [*filter(None, routers.split(","))]
             )
@@ -355,17 +355,17 @@
             )  # fmt: skip
             if why := refusal(plan, facts):
                 raise ValueError(why)
-            saved = rolling.Kept(plan, restart, restart_router)
-        return await rolling.Rolling(run, roll_state, saved, say).run()
+            saved = rolling.SavedRoll(plan, restart, restart_router)
+        return await rolling.RollRunner(run, roll_state, saved, say).run()
 
     def say(text: str) -> None:
         print_json({"said": text}) if as_json else typer.echo(text)
 
     try:
         run.mkdir(parents=True, exist_ok=True)
-        with rolling.Place(run) as roll_state:
+        with rolling.RollFile(run) as roll_state:
             failed = asyncio.run(run_roll(roll_state))
-    except (rolling.BusyError, SelectorError, ValueError, OSError) as problem:
+    except (rolling.RollBusyError, SelectorError, ValueError, OSError) as problem:
         typer.echo(str(problem), err=True)
         raise typer.Exit(2) from None
     if failed:
@@ -401,23 +401,25 @@
 @app.command()
 def diff(file: Path, now: Path, settings: Path, as_json: AsJson = False) -> None:
     """Show what replacing NOW by FILE would change; exit 1 if it would be refused or held back."""
-    from lifthead.members.listing import change, listing
+    from lifthead.members.listing import compare_listings, make_listing
 
     fleet = _read_settings(settings)
     try:
-        then, before = (listing(script.read_engines(path.read_text(), str(path))) for path in (file, now))
+        then, before = (
+            make_listing(script.read_engines(path.read_text(), str(path))) for path in (file, now)
+        )
     except (script.ScriptError, OSError, UnicodeDecodeError) as problem:
         typer.echo(str(problem), err=True)
         raise typer.Exit(2) from None
-    found = change(before, then, fleet)
+    found = compare_listings(before, then, fleet)
     if as_json:
-        print_json(found.plain() | {"digest": then.digest})
+        print_json(found.as_dict() | {"digest": then.digest})
     else:
         print_table(
-            [{"what": key, "engines": str(value)} for key, value in found.plain().items()],
+            [{"what": key, "engines": str(value)} for key, value in found.as_dict().items()],
             f"digest {then.digest}",
         )
-    if found.refused or found.held:
+    if found.refusal or found.confirmation_reason:
         raise typer.Exit(1)
 
 
--- a/lifthead/daemon/billing.py
+++ b/lifthead/daemon/billing.py
@@ -1,13 +1,13 @@
 """Writes a ledger entry for each request and applies the token budgets of tenants; called by the host."""
 
 from lifthead.daemon.requests import PendingChatRequest
-from lifthead.ledger.entries import Usage, usage
-from lifthead.ledger.keeper import Keeper
+from lifthead.ledger.entries import Usage, usage_entry
+from lifthead.ledger.keeper import LedgerWriter
 from lifthead.ledger.quota import Quota
 
 
 class Billing:
-    def __init__(self, keeper: Keeper, quota: Quota) -> None:
+    def __init__(self, keeper: LedgerWriter, quota: Quota) -> None:
         self._keeper, self._quota = keeper, quota
         self._tenants: list[str] = []
         self._period = ""
@@ -21,8 +21,8 @@
         period = self._keeper.period()
         if period != self._period:
             self._period = period
-            used = {tenant: self._keeper.journal.book.used(period, tenant) for tenant in self._tenants}
-            self._quota.period(period, used)
+            used = {tenant: self._keeper.journal.book.tokens_used(period, tenant) for tenant in self._tenants}
+            self._quota.start_period(period, used)
 
     def shares(self) -> dict[str, float]:
         """By tenant with a budget: the fraction of its request share that it may use now."""
@@ -33,14 +33,14 @@
         pending.billed = True
         entry = self._entry(pending, "done")
         self._settle(pending, entry)
-        await self._keeper.sure(entry)
+        await self._keeper.append_and_wait(entry)
 
     def record_ended(self, pending: PendingChatRequest) -> None:
         if not pending.billed:
             pending.billed = True
             entry = self._entry(pending, pending.final_answer)
             self._settle(pending, entry)
-            self._keeper.put(entry)
+            self._keeper.append(entry)
 
     def _settle(self, pending: PendingChatRequest, entry: Usage) -> None:
         reserved = pending.request.prompt_tokens + pending.request.max_answer_tokens
@@ -48,14 +48,14 @@
 
     def _entry(self, pending: PendingChatRequest, ended: str) -> Usage:
         request = pending.request
-        return usage(
-            req=pending.name,
+        return usage_entry(
+            request_id=pending.name,
             at=self._keeper.now(),
             period=self._keeper.period(),
             tenant=request.tenant,
             group=request.request_class,
             ended=ended,
-            begun=pending.reply.begun and pending.delivered_tokens > 0,
+            first_token_sent=pending.reply.begun and pending.delivered_tokens > 0,
             prompt=request.prompt_tokens,
             kept=pending.cached_prompt_tokens,
             sent=pending.delivered_tokens,
--- a/lifthead/daemon/host.py
+++ b/lifthead/daemon/host.py
@@ -27,7 +27,7 @@
 from lifthead.hosting import now, wall_clock_offset
 from lifthead.http1 import HttpError
 from lifthead.interface import AttemptOutcome, Deployment, EngineEntry, Idempotency, LoadReport, RequestSpec
-from lifthead.members.weight import Lately
+from lifthead.members.weight import RecentAnswers
 from lifthead.resume.resume_queue import ResumeQueue
 from lifthead.resume.splice import Splice, SpliceError
 from lifthead.resume.stall_detector import StallDetector
@@ -68,7 +68,7 @@
         self._running_streams: dict[int, PendingChatRequest] = {}  # by serial number
         self.stall_detector = StallDetector(int(limits.stalled_for))
         self.resumptions = ResumeQueue()
-        self.recent_answers = Lately()
+        self.recent_answers = RecentAnswers()
         self.router = make_router(self, deployment)
 
     # Events from outside.
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -16,6 +16,7 @@
 
 import msgspec
 import structlog
+from lifthead.members.registry import EngineRegistry, Outcome
 
 from lifthead.chat import codec
 from lifthead.chat.codec import BadRequestError, ChatApi
@@ -31,16 +32,15 @@
 from lifthead.engines.listing import watch_engine_list
 from lifthead.fleet import admin, health
 from lifthead.http1 import Message
-from lifthead.ledger.disk import Directory
-from lifthead.ledger.keeper import Keeper, open_journal
-from lifthead.ledger.quota import Budget, Quota
-from lifthead.members import last, watch
-from lifthead.members.drains import Drains, SelectorError, Word, chosen
-from lifthead.members.handover import Predecessor, offer
-from lifthead.members.roster import Outcome, Roster
-from lifthead.members.store import Store, replace_file
-from lifthead.members.view import View
-from lifthead.members.weight import Weight, wish
+from lifthead.ledger.disk import DiskDirectory
+from lifthead.ledger.keeper import LedgerWriter, open_journal
+from lifthead.ledger.quota import Quota, TokenBudget
+from lifthead.members import last_list, watch
+from lifthead.members.drains import Drains, OperatorState, SelectorError, select_engines
+from lifthead.members.handover import Predecessor, offer_sockets
+from lifthead.members.store import GenerationStore, replace_file
+from lifthead.members.view import FleetView
+from lifthead.members.weight import AdvertisedWeight, target_weight
 
 BACKLOG = 4096  # of the listening_sockets sockets
 LAG_INTERVAL = 0.05  # seconds between samples of the event loop's delay
@@ -68,20 +68,20 @@
         if fleet.ledger:
             directory = Path(fleet.ledger.directory or run_dir / f"ledger-{name}")
             lost = self.metrics.lost_entries.inc
-            self.ledger = Keeper(open_journal(directory), fleet.ledger, log, lost)
-            budgets = {each.tenant: Budget(each.tokens, each.soft) for each in fleet.budgets.values()}
+            self.ledger = LedgerWriter(open_journal(directory), fleet.ledger, log, lost)
+            budgets = {each.tenant: TokenBudget(each.tokens, each.soft) for each in fleet.budgets.values()}
             self.quota = Quota(budgets, len(fleet.routers))
             billing = Billing(self.ledger, self.quota)
             billing.set_tenants(list(budgets))
         self.billing = billing
-        self.view = View()
-        self.weight = Weight(random.Random(seed))
-        self.registry: Roster | None = None
+        self.view = FleetView()
+        self.weight = AdvertisedWeight(random.Random(seed))
+        self.registry: EngineRegistry | None = None
         self.file_watch: asyncio.Task | None = None
         self.drains = Drains(start.role_by_kind)
         self._drains_file = run_dir / f"operator-{name}.json"
         if self._drains_file.exists():  # an operator's drains outlast a restart
-            self.drains.word = msgspec.json.decode(self._drains_file.read_bytes(), type=Word)
+            self.drains.state = msgspec.json.decode(self._drains_file.read_bytes(), type=OperatorState)
         self.host = Host(
             name, start, fleet.limits, tasks, self.metrics, log, resume_enabled, billing, make_router
         )
@@ -112,7 +112,7 @@
 
     def publish_file(self) -> None:
         assert self.registry
-        self.on_source_update("file", listed_engines(self.registry.now.engines), True)
+        self.on_source_update("file", listed_engines(self.registry.current.engines), True)
 
     def on_push(self, update: ListUpdate) -> None:
         self.on_source_update("push", update.engines, update.whole)
@@ -122,41 +122,41 @@
         """Stores the last pushed list on disk; starts from the stored one if no list is pushed in time."""
         stored, started = None, now()
         with contextlib.suppress(OSError, msgspec.DecodeError):
-            stored = msgspec.json.decode(self._list_file.read_bytes(), type=last.Last)
+            stored = msgspec.json.decode(self._list_file.read_bytes(), type=last_list.LastList)
         while True:
             await asyncio.sleep(0.25)
             wall = time.time_ns() // 1000
-            if stored and last.due(stored, now() - started, self.host.list_received_at > 0, wall):
+            if stored and last_list.is_usable(stored, now() - started, self.host.list_received_at > 0, wall):
                 self.log.warning(
                     "no list of engines is pushed: by the last one", age_s=(wall - stored.at) / 1e6
                 )
-                self.view.tell("push", stored.engines, True, now() - (wall - stored.at))
+                self.view.update("push", stored.engines, True, now() - (wall - stored.at))
                 self.publish_changes()
             if self._list_changed:
                 engines = self.view.engines_of("push")
                 # A utilization disk must not stop a running router; the list is stored once there is space.
                 with contextlib.suppress(OSError):
-                    replace_file(self._list_file, msgspec.json.encode(last.Last(engines, wall)))
+                    replace_file(self._list_file, msgspec.json.encode(last_list.LastList(engines, wall)))
                     self._list_changed = False
 
     def on_source_update(self, source: str, engines: list[ListedEngine], whole: bool) -> None:
         """Merges the list of one source into the view and passes the changes to the module."""
-        rejection = self.view.tell(source, engines, whole, now())
+        rejection = self.view.update(source, engines, whole, now())
         if rejection:
             self.log.error("a list of engines is kept out", source=source, why=rejection)
         self.publish_changes()
 
     def publish_changes(self) -> None:
-        changes = self.view.changes(now())
-        operator_drains = self.drains.word
+        changes = self.view.take_changes(now())
+        operator_drains = self.drains.state
         if any(
             (engine.name in operator_drains.asked and engine.readiness == "ready")
             or engine.started_at < operator_drains.started.get(engine.name, 0)
             for engine in changes
         ):
             # An engine listed after its drain was requested drains before the module sees it.
-            self.drains.tell(self.view, now())
-            drained = {engine.name: engine for engine in self.view.changes(now())}
+            self.drains.publish(self.view, now())
+            drained = {engine.name: engine for engine in self.view.take_changes(now())}
             changes = [drained.pop(engine.name, engine) for engine in changes] + list(drained.values())
         if changes or self.view.members:
             self.host.on_engine_list(ListUpdate(False, changes))
@@ -182,7 +182,7 @@
                 if (
                     (why := self._refusal()) is None
                     and self.quota
-                    and not self.quota.take(request.tenant, reserved_tokens)
+                    and not self.quota.reserve(request.tenant, reserved_tokens)
                 ):
                     raise BadRequestError(
                         429, "insufficient_quota", f"tenant {request.tenant} has used its budget"
@@ -211,7 +211,7 @@
             return "this router drains"
         if not self.host.list_received_at:
             return "this router has no list of engines yet"
-        if self.ledger and self.ledger.refuses:
+        if self.ledger and self.ledger.refuses_requests:
             return "this router can't write its ledger"
         if len(self.host.pending_requests) >= self.fleet.limits.in_hand:
             return "this router holds all that it may"
@@ -236,8 +236,8 @@
             ],
             "members": lambda _: {
                 "file": self.registry.state() if self.registry else None,
-                "sources": self.view.sources(now()),
-                "engines": self.view.rows(now()),
+                "sources": self.view.source_rows(now()),
+                "engines": self.view.engine_rows(now()),
             },
             "apply": self._apply,
             "rollback": self._rollback,
@@ -289,11 +289,11 @@
         """Drains engines or undoes that; without a selector only reports the progress."""
         # Wall-clock time by the offset from the start of this process, as the host uses to convert it back.
         wall = now() + self.host.start_times.wall_offset
-        previous = copy.deepcopy(self.drains.word)
+        previous = copy.deepcopy(self.drains.state)
         try:
             if "selector" in question:
-                listed = [member.told for member in self.view.members.values()]
-                names = chosen(str(question["selector"]), listed)
+                listed = [member.reported for member in self.view.members.values()]
+                names = select_engines(str(question["selector"]), listed)
                 if question.get("undo"):
                     self.drains.undo(names, self.view, now(), int(question.get("started_at", 0)))
                 elif (why := self.drains.refusal(names, self.view)) and not question.get("force"):
@@ -301,7 +301,7 @@
                 else:
                     limit = int(question.get("limit", 0))
                     self.drains.drain(names, wall + limit if limit else 0, self.view, now())
-                replace_file(self._drains_file, msgspec.json.encode(self.drains.word))
+                replace_file(self._drains_file, msgspec.json.encode(self.drains.state))
                 self.log.info("drain engines", engines=names, undo=bool(question.get("undo")))
                 self.publish_changes()
         except SelectorError as problem:
@@ -325,7 +325,10 @@
         """Readmits engines that flapped once they have been stable for long enough."""
         while True:
             await asyncio.sleep(0.5)
-            if any(member.went and member.told.readiness != "ready" for member in self.view.members.values()):
+            if any(
+                member.departures and member.reported.readiness != "ready"
+                for member in self.view.members.values()
+            ):
                 self.publish_changes()
 
     async def sample_metrics(self) -> None:
@@ -346,7 +349,9 @@
                 utilization = len(self.host.pending_requests) / self.fleet.limits.in_hand
                 ended, pushed_back, _ = self.host.recent_answers.counts(now())
                 self.metrics.weight.set(
-                    self.weight.turn(now(), wish(utilization, int(smoothed_lag * 1e6), ended, pushed_back))
+                    self.weight.update(
+                        now(), target_weight(utilization, int(smoothed_lag * 1e6), ended, pushed_back)
+                    )
                 )
             if sample % 20 == 0:
                 self.metrics.loop_lag.set(longest_lag)
@@ -400,8 +405,8 @@
         ]
         if daemon.ledger:
             background_tasks += [
-                tasks.create_task(daemon.ledger.write()),
-                tasks.create_task(daemon.ledger.export()),
+                tasks.create_task(daemon.ledger.run_writer()),
+                tasks.create_task(daemon.ledger.run_exports()),
             ]
         if list_url:
             background_tasks.append(
@@ -411,18 +416,18 @@
             )
             background_tasks.append(tasks.create_task(daemon.persist_list()))
         if engine_file:
-            store = Store(Directory(run_dir / f"engines-{name}"))
-            daemon.registry = Roster(fleet, store)
+            store = GenerationStore(DiskDirectory(run_dir / f"engines-{name}"))
+            daemon.registry = EngineRegistry(fleet, store)
             if daemon.registry.generation:
                 daemon.publish_file()  # the last valid file, so that a restart has engines at once
-            daemon.file_watch = tasks.create_task(watch.follow(engine_file, daemon.on_file_change, log))
+            daemon.file_watch = tasks.create_task(watch.watch_file(engine_file, daemon.on_file_change, log))
             background_tasks.append(daemon.file_watch)
         elif not list_url:
             daemon.on_source_update("settings", listed_engines(fleet.engines), True)
         background_tasks.append(tasks.create_task(daemon.readmit_flapped_engines()))
         if predecessor:
             await _wait_ready(daemon)
-            await asyncio.to_thread(predecessor.go)
+            await asyncio.to_thread(predecessor.take_over)
         # The health ports open first: a balancer that reaches the client port can already see the health.
         listeners = zip(
             (
@@ -454,7 +459,9 @@
 
         if not daemon.ledger:  # a ledger has a single writer, so its router is restarted instead
             listening_sockets = [server.sockets[0] for server in servers]
-            background_tasks.append(tasks.create_task(offer(handover_path, listening_sockets, hand_over)))
+            background_tasks.append(
+                tasks.create_task(offer_sockets(handover_path, listening_sockets, hand_over))
+            )
         log.info("serving", router=name, pid=os.getpid(), admin=str(socket), **daemon.addresses)
         print(
             msgspec.json.encode(
