--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -25,7 +25,7 @@
     for file in files:
         for name, serve in SERVES.items():
             with tempfile.TemporaryDirectory() as out:
-                summary = asyncio.run(day.play(script.read(file), file, Path(out), seed, serve))
+                summary = asyncio.run(day.run_scenario(script.read(file), file, Path(out), seed, serve))
             print(json.dumps({"day": file.stem, "seed": seed, "decides": name, **summary}), flush=True)
 
 
--- a/benchmarks/removal.py
+++ b/benchmarks/removal.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 
 from lifthead.deployment import script
-from lifthead.standins.crowd import Clients
+from lifthead.standins.load_generator import LoadGenerator
+from lifthead.standins.local_fleet import LocalFleet
 from lifthead.standins.record import Record, lines
-from lifthead.standins.stage import Stage
 
 FLEET = Path(__file__).parents[1] / "examples" / "roll.star"
 ROUNDS, HOLD = 6, 1.5
@@ -33,7 +33,7 @@
     file.write_text(fleet_text())
     fleet = script.read(file)
     serve = [sys.executable, "-m", "lifthead.cli", "serve", "--engines", str(watched)]
-    stage, changes = Stage(fleet, file, directory, 1, serve), []
+    stage, changes = LocalFleet(fleet, file, directory, 1, serve), []
 
     def put(names: list[str]) -> None:
         rows = [
@@ -55,10 +55,10 @@
     stage.start_router = with_file
     try:
         await stage.start()
-        addresses = [stage.address(name) for name in stage.routers]
-        clients = Clients(fleet, fleet.crowd, 1, Record(directory / "clients.jsonl"), lambda: addresses)
+        addresses = [stage.router_address(name) for name in stage.routers]
+        clients = LoadGenerator(fleet, fleet.crowd, 1, Record(directory / "clients.jsonl"), lambda: addresses)
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(clients.play())
+            tasks.create_task(clients.run())
             await asyncio.sleep(3)
             for turn in range(ROUNDS):
                 gone = [f"write-{cell}-{turn}" for cell in range(3)] + [f"write-0-{(turn + 1) % 7}"]
@@ -68,7 +68,7 @@
                 put(list(fleet.engines))
                 await asyncio.sleep(HOLD)
     finally:
-        await stage.abandon()
+        await stage.kill_all()
     last = []
     for at, gone in changes:
         sent = [
--- a/benchmarks/resume.py
+++ b/benchmarks/resume.py
@@ -48,8 +48,8 @@
             with tempfile.TemporaryDirectory() as out:
                 file = Path(out) / "day.star"
                 file.write_text(text_of(trouble, resume))
-                summary = asyncio.run(day.play(script.read(file), file, Path(out), seed))
-                traffic = verify.read(Path(out))
+                summary = asyncio.run(day.run_scenario(script.read(file), file, Path(out), seed))
+                traffic = verify.read_records(Path(out))
                 broken, resumed = logs(out, "stream broken"), logs(out, "stream resumed")
                 clients = {line["req"]: line["client_id"] for line in logs(out, "req")}
                 saved = {each["req"] for each in resumed}
--- a/benchmarks/rolls.py
+++ b/benchmarks/rolls.py
@@ -35,7 +35,9 @@
             with tempfile.TemporaryDirectory() as directory:
                 file = Path(directory) / "roll.star"
                 file.write_text(head + (trouble + tail if trouble else ""))
-                summary = asyncio.run(day.play(script.read(file), file, Path(directory) / "out", seed))
+                summary = asyncio.run(
+                    day.run_scenario(script.read(file), file, Path(directory) / "out", seed)
+                )
             print(f"seed {seed}, {way}: " + ", ".join(f"{key} {summary[key]}" for key in SHOWN), flush=True)
 
 
--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -440,19 +440,19 @@
     import signal
 
     from lifthead.fleet import admin
-    from lifthead.standins.stage import Stage
+    from lifthead.standins.local_fleet import LocalFleet
 
     async def run_fleet() -> None:
         fleet = _read_settings(file)
         run.mkdir(parents=True, exist_ok=True)
-        test_fleet, stop_requested = Stage(fleet, file.resolve(), run, seed), asyncio.Event()
+        test_fleet, stop_requested = LocalFleet(fleet, file.resolve(), run, seed), asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
         try:
             await test_fleet.start()
             handler = functools.partial(admin.serve, {"restart": test_fleet.restart})
             admin_server = await asyncio.start_unix_server(handler, str(run / TEST_FLEET_SOCKET))
-            line = test_fleet.line()
+            line = test_fleet.describe()
             (run / "up.json").write_bytes(msgspec.json.encode(line))
             if as_json:
                 print(msgspec.json.encode(line).decode(), flush=True)
@@ -462,9 +462,9 @@
             await stop_requested.wait()
             admin_server.close()
             (run / TEST_FLEET_SOCKET).unlink(missing_ok=True)
-            await test_fleet.close()
+            await test_fleet.stop()
         finally:
-            await test_fleet.abandon()
+            await test_fleet.kill_all()
 
     asyncio.run(run_fleet())
 
@@ -481,7 +481,7 @@
 
     fleet = _read_settings(file)
     try:
-        summary = asyncio.run(scenarios.play(fleet, file, out, seed))
+        summary = asyncio.run(scenarios.run_scenario(fleet, file, out, seed))
     except ValueError as problem:
         typer.echo(f"{file}: {problem}", err=True)
         raise typer.Exit(2) from None
@@ -498,8 +498,8 @@
     from lifthead.standins import verify as checker
 
     try:
-        traffic = checker.read(directory)
-        found = checker.breaches(traffic)
+        traffic = checker.read_records(directory)
+        found = checker.find_breaches(traffic)
     except (OSError, KeyError) as problem:
         typer.echo(f"{directory}: not a day's records: {problem!r}", err=True)
         raise typer.Exit(2) from None
@@ -507,14 +507,14 @@
     if as_json:
         print_json(
             {
-                "reqs": len(traffic.asks),
-                "forwards": sum(map(len, traffic.forwards.values())),
+                "reqs": len(traffic.requests),
+                "forwards": sum(map(len, traffic.attempts.values())),
                 "breaches": {rule: count for rule, count in counts.items() if count},
             }
         )
     else:
         for breach in found:
-            typer.echo(f"rule {breach.rule}, {breach.req}: {breach.why}")
+            typer.echo(f"rule {breach.rule}, {breach.request}: {breach.reason}")
             for line in breach.lines:
                 typer.echo(f"    {msgspec.json.encode(line).decode()}")
         print_table(
--- a/lifthead/lab/command.py
+++ b/lifthead/lab/command.py
@@ -120,7 +120,7 @@
     from lifthead.standins import verify
 
     try:
-        overheads, errors = fitted(verify.read(records), script.read(file), seed)
+        overheads, errors = fitted(verify.read_records(records), script.read(file), seed)
     except (ScriptError, ValueError, OSError, KeyError) as problem:
         raise _fail(problem) from None
     _show(
--- a/lifthead/lab/crowd.py
+++ b/lifthead/lab/crowd.py
@@ -7,7 +7,7 @@
 from lifthead.deployment.fleet import Fleet, RequestMix
 from lifthead.lab.clock import Clock
 from lifthead.lab.router import HOP, Hand, Router
-from lifthead.standins.crowd import MOST_PROMPT
+from lifthead.standins.load_generator import MAX_PROMPT_TOKENS
 
 AROUND = 4  # tokens around each message
 WORD = 1.75  # prompt tokens that one token of an answer becomes in the next turn (its words are long)
@@ -147,7 +147,7 @@
         tokens = max(round(chance.lognormvariate(0, 0.6) * mix.new_tokens), 8)
         long = next((t for t in self.trends if t.long_part and t.long_group in ("", mix.group)), None)
         if long and chance.random() < long.long_part:
-            tokens = min(round(tokens * long.long_times), MOST_PROMPT)
+            tokens = min(round(tokens * long.long_times), MAX_PROMPT_TOKENS)
         session.prompt += tokens + AROUND
         self.asked += 1
         target = self.routers[0].groups[mix.group].ttft_target_of(session.prompt)
--- a/lifthead/lab/engine.py
+++ b/lifthead/lab/engine.py
@@ -16,8 +16,8 @@
 from lifthead.engines.codec import Observation
 from lifthead.interface import LoadReport
 from lifthead.lab.clock import Clock, Timer
-from lifthead.standins.cold import Warmth
-from lifthead.standins.engine import KEPT, Fault
+from lifthead.standins.cold import WarmUp
+from lifthead.standins.engine import PREFIX_CACHE_ENTRIES, Fault
 
 WARMING = 500_000  # microseconds between looks at how warm it has become
 
@@ -92,7 +92,7 @@
 
     def start(self, cold: bool) -> None:
         """Up, with nothing kept."""
-        self.down, self.warmth = False, Warmth(self.rules, self.clock.now, cold)
+        self.down, self.warmth = False, WarmUp(self.rules, self.clock.now, cold)
         self.kept: OrderedDict[str, int] = OrderedDict()
         self.held: dict[str, int] = {}
         self.dropped: set[str] = set()
@@ -135,7 +135,7 @@
             return
         self.faults[what] = fault
         self._tune()
-        self._after(fault.until - self.clock.now, self._tune)
+        self._after(fault.ends_at - self.clock.now, self._tune)
 
     @property
     def reachable(self) -> bool:
@@ -144,27 +144,27 @@
 
     def _has(self, what: str) -> Fault | None:
         found = self.faults.get(what)
-        return found if found and self.clock.now < found.until else None
+        return found if found and self.clock.now < found.ends_at else None
 
     def _meets(self, what: str) -> bool:
         found = self._has(what)
-        return found is not None and self.chance.random() < found.part
+        return found is not None and self.chance.random() < found.probability
 
     def _spoken(self, act: Callable[..., None], *args: Any) -> bool:
         """True if it speaks; else this is done once it does."""
         silent = self._has("silent")
         if silent:
-            self._after(silent.until - self.clock.now, act, *args)
+            self._after(silent.ends_at - self.clock.now, act, *args)
         return silent is None
 
     def _warmer(self) -> None:
         self._tune()
-        if self.warmth.at(self.clock.now) < 1:
+        if self.warmth.capacity_fraction(self.clock.now) < 1:
             self._after(WARMING, self._warmer)
 
     def pace(self) -> float:
         slow = self._has("slow")
-        return (slow.times if slow else 1.0) / self.warmth.at(self.clock.now)
+        return (slow.factor if slow else 1.0) / self.warmth.capacity_fraction(self.clock.now)
 
     # A forward.
 
@@ -182,15 +182,15 @@
     def _serve(self, sent: Sent, work: float) -> None:
         if sent.ended or not self._spoken(self._serve, sent, work):
             return
-        if self.warmth.add(self.clock.now, work):
+        if self.warmth.add_work(self.clock.now, work):
             self.put("fell", name=self.spec.name)
         full = self._has("full")
         if self._meets("garbage"):
             self._end(sent, "garbage")
             sent.router.told(sent, Observation.STRANGE, 0, None)
         elif (
-            self.warmth.fallen
-            or (full and full.group in ("", sent.group))
+            self.warmth.overloaded
+            or (full and full.request_class in ("", sent.group))
             or (sent.reads and self.role == "write")
         ):
             self._refuse(sent)
@@ -244,7 +244,7 @@
             if key:
                 self.kept[key] = length
                 self.kept.move_to_end(key)
-        while len(self.kept) > KEPT:
+        while len(self.kept) > PREFIX_CACHE_ENTRIES:
             self.kept.popitem(last=False)
         self._tune()
         then(sent)
@@ -290,7 +290,7 @@
             until = self.clock.now + tokens / self.like.near_per_s * 1e6
         else:
             slow, same = self._has("link_slow"), to.spec.zone == self.spec.zone
-            times = (slow.times if slow else 1.0) * (1.0 if same else self.like.zone_slower)
+            times = (slow.factor if slow else 1.0) * (1.0 if same else self.like.zone_slower)
             took = tokens / self.like.link_per_s * 1e6 * times
             self.link_free_at = until = max(self.link_free_at, self.clock.now) + round(took)
         life = self.life
--- a/lifthead/lab/fit.py
+++ b/lifthead/lab/fit.py
@@ -17,15 +17,15 @@
 def parts(traffic: Traffic) -> dict[str, float]:
     """Medians, microseconds: `own`, `engine` (short prompts, read where they are written), `first`, `all`."""
     own, engine, first, whole = [], [], [], []
-    for name, ask in traffic.asks.items():
-        forwards, answer = traffic.forwards.get(name), next(iter(traffic.answers.get(name, ())), None)
+    for name, ask in traffic.requests.items():
+        forwards, answer = traffic.attempts.get(name), next(iter(traffic.answers.get(name, ())), None)
         if not forwards or not answer or answer["how"] != "done" or not ask["streamed"]:
             continue
-        own.append(forwards[0].at - ask["t"])
+        own.append(forwards[0].started_at - ask["t"])
         whole.append(answer["first"])
-        if len(forwards) == 1 and forwards[0].ran:
-            engine.append(forwards[0].ran - forwards[0].at)
-            first.append(ask["t"] + answer["first"] - forwards[0].ran)
+        if len(forwards) == 1 and forwards[0].ran_at:
+            engine.append(forwards[0].ran_at - forwards[0].started_at)
+            first.append(ask["t"] + answer["first"] - forwards[0].ran_at)
     if not engine:
         raise ValueError("no answered short req stands in the records, expected a quiet day's")
     found = {"own": own, "engine": engine, "first": first, "all": whole}
--- a/lifthead/lab/search.py
+++ b/lifthead/lab/search.py
@@ -82,7 +82,9 @@
     crowd = msgspec.structs.replace(fleet.crowd, length=Microseconds(length))
     day = msgspec.structs.replace(fleet, crowd=crowd, troubles=troubles)
     summary, traffic = watched(day, seed, variant.decide())
-    return summary["service"], [f"rule {breach.rule}: {breach.why}" for breach in verify.breaches(traffic)]
+    return summary["service"], [
+        f"rule {breach.rule}: {breach.reason}" for breach in verify.find_breaches(traffic)
+    ]
 
 
 def search(variant: Variant, bounds: Bounds, tries: int, seed: int) -> Found | int:
--- a/lifthead/lab/world.py
+++ b/lifthead/lab/world.py
@@ -18,7 +18,7 @@
 from lifthead.lab.tally import Tally
 from lifthead.standins import verify
 from lifthead.standins.engine import Fault
-from lifthead.standins.record import facts
+from lifthead.standins.record import checker_settings
 
 AT_ENGINES = ("silent", "slow", "reset", "lost", "full", "flush", "garbage", "link_slow")
 RESTART = 700_000  # microseconds that a process takes to start
@@ -93,7 +93,7 @@
         longest = max((group.deadline for group in self.fleet.groups.values()), default=0)
         self.clock.run(self.crowd.until + int(longest) * 2 + 2_000_000)
         if self.tapes:
-            self._tape("facts")("facts", **facts(self.fleet))
+            self._tape("facts")("facts", **checker_settings(self.fleet))
             self._tape("stage")("over")
             self.tapes.close()
         took = time.perf_counter() - began
@@ -223,4 +223,4 @@
     """A day's summary, and its traffic as the checker of real days reads it."""
     with tempfile.TemporaryDirectory() as directory:
         summary = World(fleet, seed, Path(directory), decide, overheads).run()
-        return summary, verify.read(Path(directory))
+        return summary, verify.read_records(Path(directory))
--- a/lifthead/standins/balancer.py
+++ b/lifthead/standins/balancer.py
@@ -76,7 +76,7 @@
 
     async def _ready(self, each: Behind) -> bool:
         with contextlib.suppress(OSError, TimeoutError):
-            return (await call(each.health, "GET", "/ready", within=1.0))[0] == 200
+            return (await call(each.health, "GET", "/ready", timeout=1.0))[0] == 200
         return False
 
     @staticmethod
--- a/lifthead/standins/billing.py
+++ b/lifthead/standins/billing.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from lifthead.standins.record import Record
-from lifthead.standins.wire import Server
+from lifthead.standins.wire import ServerConnection
 
 
 class Billing:
@@ -24,9 +24,9 @@
         self._fails, self._silent, self._slow = fails, silent, slow
         self.landed: dict[str, str] = {}  # digest by batch
 
-    async def connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        server = Server(reader, writer)
-        asked = await server.next()
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        server = ServerConnection(reader, writer)
+        asked = await server.read_request()
         if asked is None or asked.method != "PUT":
             writer.close()
             return
@@ -34,10 +34,10 @@
         await asyncio.sleep(self._chance.uniform(0, self._slow))
         if self._chance.random() < self._fails:
             self._record.put("failed", batch=batch)
-            server.whole(503, b"{}")
+            server.send_response(503, b"{}")
         elif self.landed.setdefault(batch, digest) != digest:
             self._record.put("conflict", batch=batch, digest=digest, first=self.landed[batch])
-            server.whole(409, b"{}")
+            server.send_response(409, b"{}")
         else:
             (self.directory / f"{batch}.parquet").write_bytes(asked.body)
             (self.directory / f"{batch}.json").write_text(
@@ -45,7 +45,7 @@
             )
             self._record.put("landed", batch=batch, digest=digest)
             if self._chance.random() >= self._silent:
-                server.whole(200, b"{}")
+                server.send_response(200, b"{}")
         with contextlib.suppress(ConnectionError):
             await writer.drain()
         writer.close()
--- a/lifthead/standins/day.py
+++ b/lifthead/standins/day.py
@@ -10,9 +10,9 @@
 from lifthead.members.roll import Plan, Step
 from lifthead.members.rolling import Kept, Place, Rolling
 from lifthead.standins import verify
-from lifthead.standins.crowd import Clients, Trend
-from lifthead.standins.record import Record, facts, now
-from lifthead.standins.stage import Stage
+from lifthead.standins.load_generator import LoadChange, LoadGenerator
+from lifthead.standins.local_fleet import LocalFleet
+from lifthead.standins.record import Record, checker_settings, now
 from lifthead.standins.text import filler
 
 AT_ENGINES = ("silent", "slow", "reset", "lost", "full", "flush", "garbage", "link_slow", "overlap")
@@ -26,30 +26,30 @@
         for old in (*out.glob("*.jsonl"), *out.glob("*.err"), *out.glob("*.sock")):
             old.unlink()
         self.fleet, self.out = fleet, out
-        self.stage = Stage(fleet, script.resolve(), out, seed, serve)
+        self.stage = LocalFleet(fleet, script.resolve(), out, seed, serve)
         self.chance = random.Random(seed)
-        self.clients = Clients(fleet, fleet.crowd, seed, Record(out / "clients.jsonl"), self._addresses)
+        self.clients = LoadGenerator(fleet, fleet.crowd, seed, Record(out / "clients.jsonl"), self._addresses)
 
     def _addresses(self) -> list[str]:
-        return [self.stage.address(name) for name in self.stage.routers]
+        return [self.stage.router_address(name) for name in self.stage.routers]
 
     async def play(self) -> dict[str, Any]:
         """The whole day; its summary."""
-        Record(self.out / "facts.jsonl").put("facts", **facts(self.fleet))
+        Record(self.out / "facts.jsonl").put("facts", **checker_settings(self.fleet))
         try:
             await self.stage.start()
             self.stage.record.put("begin")
             async with asyncio.TaskGroup() as tasks:
-                crowd = tasks.create_task(self.clients.play())
+                crowd = tasks.create_task(self.clients.run())
                 troubles = [tasks.create_task(self._trouble(trouble)) for trouble in self.fleet.troubles]
                 await crowd
                 for trouble in troubles:
                     await trouble
             self.stage.record.put("over")
-            codes = await self.stage.close()
+            codes = await self.stage.stop()
         finally:
-            await self.stage.abandon()
-        summary = verify.summary(self.out)
+            await self.stage.kill_all()
+        summary = verify.summarize(self.out)
         unclean = {name: code for name, code in codes.items() if code != 0}
         return summary | ({"exit_codes": unclean} if unclean else {})
 
@@ -60,7 +60,7 @@
         if trouble.what in AT_ENGINES:
             await asyncio.gather(
                 *(
-                    self.stage.fault(
+                    self.stage.inject_fault(
                         name, trouble.what, trouble.lasts, trouble.part, trouble.times, trouble.group
                     )
                     for name in engines
@@ -71,11 +71,11 @@
         elif trouble.what in ("crash", "vanish"):
             await asyncio.gather(*(self._down(name, trouble) for name in engines))
         elif trouble.what == "drain":
-            await self.stage.say("draining", *engines, limit=trouble.limit)
+            await self.stage.publish_readiness("draining", *engines, limit=trouble.limit)
             await asyncio.sleep(trouble.lasts / 1e6)
-            await self.stage.say("ready", *engines)
+            await self.stage.publish_readiness("ready", *engines)
         elif trouble.what == "late_list":
-            self.stage.list.late = trouble.lasts / 1e6
+            self.stage.list_service.late = trouble.lasts / 1e6
         elif trouble.what == "roll":
             await self._roll(engines, trouble)
         elif trouble.what == "naive_roll":
@@ -91,11 +91,11 @@
         """An engine is killed and comes back cold. `vanish`: it falls silent first, so that nobody is told by
         a reset; what it holds breaks only when it comes back."""
         if trouble.what == "vanish":
-            await self.stage.fault(name, "silent", trouble.lasts, 1.0, 1.0, "")
+            await self.stage.inject_fault(name, "silent", trouble.lasts, 1.0, 1.0, "")
             await asyncio.sleep(trouble.lasts / 1e6)
-        await self.stage.end(name, signal.SIGKILL)
+        await self.stage.stop_process(name, signal.SIGKILL)
         if trouble.what == "crash":
-            await self.stage.say("gone", name)
+            await self.stage.publish_readiness("gone", name)
             await asyncio.sleep(trouble.lasts / 1e6)
         await self.stage.start_engine(name, cold=True)
 
@@ -113,11 +113,11 @@
                     tasks.create_task(self._kill(name, down))
                 elif what != "kill" and name not in down:
                     lasts = round(self.chance.uniform(0.3, 2.5) * 1e6)
-                    await self.stage.fault(name, what, lasts, trouble.part, 1.0, "")
+                    await self.stage.inject_fault(name, what, lasts, trouble.part, 1.0, "")
 
     async def _kill(self, name: str, down: set[str]) -> None:
-        await self.stage.end(name, signal.SIGKILL)
-        await self.stage.say("gone", name)
+        await self.stage.stop_process(name, signal.SIGKILL)
+        await self.stage.publish_readiness("gone", name)
         await self.stage.start_engine(name, cold=False)
         down.discard(name)
 
@@ -141,24 +141,26 @@
         how = signal.SIGTERM if trouble.what == "router_stop" else signal.SIGKILL
         for name in trouble.routers or list(self.fleet.routers):
             if name in self.stage.routers:
-                await self.stage.end(name, how)
+                await self.stage.stop_process(name, how)
                 await asyncio.sleep(trouble.lasts / 1e6)
                 await self.stage.start_router(name)
 
     async def _crowd(self, trouble: FaultSpec) -> None:
         trend = {
-            "burst": Trend(rate=trouble.times),
-            "flood": Trend(tenant=trouble.tenant, tenant_rate=self.fleet.crowd.per_s * trouble.times),
-            "hot_beginning": Trend(beginning=filler(self.chance, 2500), beginning_part=trouble.part),
-            "long_prompts": Trend(long_group=trouble.group, long_part=trouble.part, long_times=trouble.times),
-            "impatient": Trend(impatient=trouble.tenant),
+            "burst": LoadChange(rate=trouble.times),
+            "flood": LoadChange(tenant=trouble.tenant, tenant_rate=self.fleet.crowd.per_s * trouble.times),
+            "hot_beginning": LoadChange(beginning=filler(self.chance, 2500), beginning_part=trouble.part),
+            "long_prompts": LoadChange(
+                long_group=trouble.group, long_part=trouble.part, long_times=trouble.times
+            ),
+            "impatient": LoadChange(impatient=trouble.tenant),
         }[trouble.what]
         self.clients.trends.append(trend)
         await asyncio.sleep(trouble.lasts / 1e6)
         self.clients.trends.remove(trend)
 
 
-async def play(
+async def run_scenario(
     fleet: Fleet, script: Path, out: Path, seed: int, serve: tuple[str, ...] = ()
 ) -> dict[str, Any]:
     started, task = now(), asyncio.current_task()
--- a/lifthead/standins/engine.py
+++ b/lifthead/standins/engine.py
@@ -14,12 +14,12 @@
 import h11
 
 from lifthead.deployment.fleet import EngineSpec, Fleet, StandIn
-from lifthead.standins.cold import Warmth
+from lifthead.standins.cold import WarmUp
 from lifthead.standins.record import Record, now
 from lifthead.standins.text import answer
-from lifthead.standins.wire import Asked, Client, Server, first_of
+from lifthead.standins.wire import ClientConnection, ReceivedRequest, ServerConnection, wait_for_any
 
-KEPT = 512  # prefixes that an engine keeps
+PREFIX_CACHE_ENTRIES = 512  # prefixes that an engine keeps
 ROOM_FOR_SLOW = 262_144  # bytes that wait for a client before its stream rests
 
 
@@ -39,7 +39,7 @@
     """An answer that is being written."""
 
     forward: str
-    server: Server
+    server: ServerConnection
     words: deque[str]
     sent: int
     tokens: int  # of memory
@@ -55,26 +55,26 @@
 
 @dataclass(slots=True)
 class Fault:
-    until: int
-    part: float
-    times: float
-    group: str
+    ends_at: int
+    probability: float
+    factor: float
+    request_class: str
 
 
 class Engine:
     def __init__(self, fleet: Fleet, spec: EngineSpec, seed: int, record: Record, cold: bool) -> None:
         self.spec, self.record = spec, record
         self.role, self.memory = fleet.kinds[spec.kind].role, fleet.kinds[spec.kind].memory
-        self.like = fleet.stand_ins.get(spec.kind) or StandIn(kind=spec.kind)
+        self.profile = fleet.stand_ins.get(spec.kind) or StandIn(kind=spec.kind)
         self.groups = {model: group.name for group in fleet.groups.values() for model in group.models}
         self.chance = random.Random(seed)
-        self.warmth = Warmth(fleet.rules, now(), cold)
+        self.warm_up = WarmUp(fleet.rules, now(), cold)
         self.kept: OrderedDict[str, int] = OrderedDict()
-        self.held: dict[str, Held] = {}
+        self.held_states: dict[str, Held] = {}
         self.dropped: set[str] = set()  # let go of before the read had ended
         self.read_free_at = self.link_free_at = 0
-        self.reading = self.unread = 0
-        self.running: set[Stream] = set()
+        self.prefill_count = self.unread = 0
+        self.running_streams: set[Stream] = set()
         self.waiting: deque[asyncio.Event] = deque()
         self.used = 0  # tokens of memory
         self.slots = 0
@@ -87,7 +87,7 @@
             cell=spec.cell,
             kind=spec.kind,
             cold=cold,
-            slots=self.like.slots,
+            slots=self.profile.slots,
             memory=self.memory,
         )
 
@@ -95,39 +95,39 @@
 
     def fault(self, what: str) -> Fault | None:
         found = self.faults.get(what)
-        if found and now() < found.until:
+        if found and now() < found.ends_at:
             return found
         self.faults.pop(what, None)
         return None
 
     def meets(self, what: str) -> bool:
         found = self.fault(what)
-        return found is not None and self.chance.random() < found.part
+        return found is not None and self.chance.random() < found.probability
 
-    async def _not_silent(self, asked: Asked) -> bool:
+    async def _not_silent(self, asked: ReceivedRequest) -> bool:
         """Waits while the engine is silent; False if the peer left meanwhile."""
         while not asked.closed.is_set() and (found := self.fault("silent")):
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(max((found.until - now()) / 1e6, 0.001)):
+                async with asyncio.timeout(max((found.ends_at - now()) / 1e6, 0.001)):
                     await asked.closed.wait()
         return not asked.closed.is_set()
 
     def pace(self) -> float:
         """How many times slower than when warm and well."""
         slow = self.fault("slow")
-        return (slow.times if slow else 1.0) / self.warmth.at(now())
+        return (slow.factor if slow else 1.0) / self.warm_up.capacity_fraction(now())
 
     # What is asked.
 
-    async def connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        server = Server(reader, writer)
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        server = ServerConnection(reader, writer)
         with contextlib.suppress(ConnectionError, h11.ProtocolError):
-            while asked := await server.next():
+            while asked := await server.read_request():
                 async with asyncio.TaskGroup() as tasks:
-                    watch = tasks.create_task(server.watch(asked))
+                    watch = tasks.create_task(server.wait_for_close(asked))
                     await self._serve(server, asked)
                     watch.cancel()
-                if server.gone or writer.transport.is_closing():
+                if server.peer_closed or writer.transport.is_closing():
                     break
                 with contextlib.suppress(ConnectionError):
                     await writer.drain()
@@ -136,7 +136,7 @@
                 server.http.start_next_cycle()
         writer.close()
 
-    async def _serve(self, server: Server, asked: Asked) -> None:
+    async def _serve(self, server: ServerConnection, asked: ReceivedRequest) -> None:
         if asked.path == "/standin/fault":
             what = json.loads(asked.body)
             if what["what"] == "flush":
@@ -146,21 +146,21 @@
                     now() + what["lasts"], what["part"], what["times"], what["group"]
                 )
             self.record.put("fault", **what)
-            return server.whole(200, b"{}")
+            return server.send_response(200, b"{}")
         if asked.path == "/v1/chat/completions" and asked.method == "POST":
             return await self._chat(server, asked)
         await self._not_silent(asked)
         if asked.path == "/health":
-            return server.whole(503 if self.warmth.fallen else 200, b"{}", self._load())
+            return server.send_response(503 if self.warm_up.overloaded else 200, b"{}", self._load())
         if asked.path == "/v1/kv/release":
             return self._release(server, str(json.loads(asked.body).get("request_id")))
         if asked.path == "/standin/claim":
             return self._claimed(server, json.loads(asked.body))
         if asked.path == "/standin/fetch":
             return await self._hand_over(server, asked, json.loads(asked.body))
-        return server.whole(404, b"{}")
+        return server.send_response(404, b"{}")
 
-    async def _chat(self, server: Server, asked: Asked) -> None:
+    async def _chat(self, server: ServerConnection, asked: ReceivedRequest) -> None:
         body = json.loads(asked.body)
         forward = asked.headers.get("x-request-id", "")
         group = self.groups.get(body.get("model"), "")
@@ -170,8 +170,8 @@
         kept = self._found(body["messages"])
         fetches = bool(transfer.get("do_remote_prefill"))
         reads = bool(transfer.get("do_remote_decode"))
-        work = 0 if fetches else (prompt - kept) / self.like.read_per_s * 1e6
-        work += 0 if reads else most * self.like.step / self.like.slots
+        work = 0 if fetches else (prompt - kept) / self.profile.read_per_s * 1e6
+        work += 0 if reads else most * self.profile.step / self.profile.slots
         self.record.put(
             "forward",
             id=forward,
@@ -186,18 +186,22 @@
         try:
             if not await self._not_silent(asked):  # recorded all the same: to its router it was out
                 return None
-            if self.warmth.add(now(), work):
+            if self.warm_up.add_work(now(), work):
                 self.record.put("fell", name=self.spec.name)
             if self.meets("garbage"):
-                server.raw(b"\x00\x01 this is not the protocol\r\n\r\n" + b"\xff" * 64)
+                server.send_raw(b"\x00\x01 this is not the protocol\r\n\r\n" + b"\xff" * 64)
                 await server.writer.drain()
                 server.writer.close()
                 how = "garbage"
                 return
             full = self.fault("full")
-            if self.warmth.fallen or (full and full.group in ("", group)) or (reads and self.role == "write"):
+            if (
+                self.warm_up.overloaded
+                or (full and full.request_class in ("", group))
+                or (reads and self.role == "write")
+            ):
                 how = "refused"
-                return server.whole(
+                return server.send_response(
                     503, b'{"error":{"message":"full"}}', self._load({"x-lifthead-not-run": "1"})
                 )
             if reads:
@@ -227,26 +231,34 @@
         for mark, total in self._prefixes(messages):
             self.kept[mark] = total
             self.kept.move_to_end(mark)
-        while len(self.kept) > KEPT:
+        while len(self.kept) > PREFIX_CACHE_ENTRIES:
             self.kept.popitem(last=False)
 
     async def _through_reading(self, messages: list[dict], unread: int) -> None:
         """Waits until the prompt is read: first come, first read, at the engine's pace."""
         at = now()
-        took = unread / self.like.read_per_s * 1e6 * self.pace()
+        took = unread / self.profile.read_per_s * 1e6 * self.pace()
         self.read_free_at = max(self.read_free_at, at) + round(took)
-        self.reading, self.unread = self.reading + 1, self.unread + unread
+        self.prefill_count, self.unread = self.prefill_count + 1, self.unread + unread
         try:
             await asyncio.sleep((self.read_free_at - at) / 1e6)
         finally:
-            self.reading, self.unread = self.reading - 1, self.unread - unread
+            self.prefill_count, self.unread = self.prefill_count - 1, self.unread - unread
         self._keep(messages)
 
     async def _read(
-        self, server: Server, asked: Asked, body: dict, forward: str, prompt: int, kept: int
+        self,
+        server: ServerConnection,
+        asked: ReceivedRequest,
+        body: dict,
+        forward: str,
+        prompt: int,
+        kept: int,
     ) -> str:
-        if self.reading >= self.like.slots + self.like.queue or self.used + prompt > self.memory:
-            server.whole(503, b'{"error":{"message":"full"}}', self._load({"x-lifthead-not-run": "1"}))
+        if self.prefill_count >= self.profile.slots + self.profile.queue or self.used + prompt > self.memory:
+            server.send_response(
+                503, b'{"error":{"message":"full"}}', self._load({"x-lifthead-not-run": "1"})
+            )
             return "refused"
         await self._through_reading(
             body["messages"], max(prompt - kept, 1)
@@ -256,9 +268,9 @@
             self.dropped.discard(forward)
             return "dropped"
         due = asyncio.get_running_loop().call_later(
-            self.like.held_for / 1e6, self._let_go, forward, "forgotten"
+            self.profile.held_for / 1e6, self._let_go, forward, "forgotten"
         )
-        self.held[forward] = Held(prompt, due)
+        self.held_states[forward] = Held(prompt, due)
         self.used += prompt
         self.record.put("held", id=forward, tokens=prompt)
         if self.meets("lost"):
@@ -285,11 +297,11 @@
                 "prompt_tokens_details": {"cached_tokens": kept},
             },
         }
-        server.whole(200, json.dumps(made).encode(), self._load())
+        server.send_response(200, json.dumps(made).encode(), self._load())
         return "closed" if asked.closed.is_set() else "read"
 
     def _let_go(self, forward: str, why: str) -> bool:
-        held = self.held.pop(forward, None)
+        held = self.held_states.pop(forward, None)
         if held is None:
             return False
         if held.due:
@@ -299,60 +311,60 @@
         self._admit()
         return True
 
-    def _claimed(self, server: Server, question: dict) -> None:
+    def _claimed(self, server: ServerConnection, question: dict) -> None:
         """A decode call for this state has arrived at its engine, or left it."""
-        if held := self.held.get(question["id"]):
+        if held := self.held_states.get(question["id"]):
             held.claims += question["claims"]
-        server.whole(200, b"{}")
+        server.send_response(200, b"{}")
 
-    def _release(self, server: Server, forward: str) -> None:
-        held = self.held.get(forward)
+    def _release(self, server: ServerConnection, forward: str) -> None:
+        held = self.held_states.get(forward)
         if held and held.claims > 0:  # a decode call waits for it
-            return server.whole(200, b"{}")
+            return server.send_response(200, b"{}")
         if not self._let_go(forward, "asked"):
             if len(self.dropped) > 4096:
                 self.dropped.clear()
             self.dropped.add(forward)
-        server.whole(200, b"{}")
+        server.send_response(200, b"{}")
 
-    async def _hand_over(self, server: Server, asked: Asked, question: dict) -> None:
+    async def _hand_over(self, server: ServerConnection, asked: ReceivedRequest, question: dict) -> None:
         """A writer fetches a state: near, over the cell's link, or to another zone."""
         forward = question["id"]
-        held = self.held.get(forward)
+        held = self.held_states.get(forward)
         if held is None:
-            return server.whole(404, b"{}")
+            return server.send_response(404, b"{}")
         slow = self.fault("link_slow")
         if question["zone"] == self.spec.zone and question["cell"] == self.spec.cell:
-            until = now() + held.tokens / self.like.near_per_s * 1e6
+            until = now() + held.tokens / self.profile.near_per_s * 1e6
         else:
-            times = (slow.times if slow else 1.0) * (
-                1 if question["zone"] == self.spec.zone else self.like.zone_slower
+            times = (slow.factor if slow else 1.0) * (
+                1 if question["zone"] == self.spec.zone else self.profile.zone_slower
             )
             self.link_free_at = max(self.link_free_at, now()) + round(
-                held.tokens / self.like.link_per_s * 1e6 * times
+                held.tokens / self.profile.link_per_s * 1e6 * times
             )
             until = self.link_free_at
         await asyncio.sleep(max(until - now(), 0) / 1e6)
         if not await self._not_silent(asked):
-            return server.whole(404, b"{}")
+            return server.send_response(404, b"{}")
         if not self._let_go(forward, "taken"):
-            return server.whole(404, b"{}")
-        return server.whole(200, b"{}")
+            return server.send_response(404, b"{}")
+        return server.send_response(200, b"{}")
 
     # Writing.
 
     def _admit(self) -> None:
-        while self.waiting and self.slots < self.like.slots and self.used < self.memory:
+        while self.waiting and self.slots < self.profile.slots and self.used < self.memory:
             self.waiting.popleft().set()
             self.slots += 1
 
-    async def _place(self, asked: Asked) -> bool:
+    async def _place(self, asked: ReceivedRequest) -> bool:
         """Waits for a slot; False if the peer left first."""
         free = asyncio.Event()
         self.waiting.append(free)
         self._admit()
         if not free.is_set():
-            await first_of(free, asked.closed)
+            await wait_for_any(free, asked.closed)
         if free.is_set():
             return True
         self.waiting.remove(free)
@@ -360,8 +372,8 @@
 
     async def _write(
         self,
-        server: Server,
-        asked: Asked,
+        server: ServerConnection,
+        asked: ReceivedRequest,
         body: dict,
         forward: str,
         transfer: dict | None,
@@ -369,8 +381,10 @@
         kept: int,
         most: int,
     ) -> str:
-        if self.role == "read" or len(self.waiting) >= self.like.queue:
-            server.whole(503, b'{"error":{"message":"full"}}', self._load({"x-lifthead-not-run": "1"}))
+        if self.role == "read" or len(self.waiting) >= self.profile.queue:
+            server.send_response(
+                503, b'{"error":{"message":"full"}}', self._load({"x-lifthead-not-run": "1"})
+            )
             return "refused"
         if transfer is not None:
             await self._ask_holder(transfer, "/standin/claim", {"claims": 1})
@@ -384,7 +398,7 @@
         try:
             if transfer is not None:
                 if not await self._fetch(forward, transfer, asked):
-                    server.whole(
+                    server.send_response(
                         409,
                         b'{"error":{"message":"no state"}}',
                         self._load({"x-lifthead-not-run": "no-state"}),
@@ -399,21 +413,21 @@
             stream = Stream(forward, server, words, 0, size, kept, prompt, body.get("model", ""), continues)
             stream.lose_after = self.chance.randint(0, len(words)) if self.meets("lost") else -1
             stream.reset_after = self.chance.randint(0, len(words)) if self.meets("reset") else -1
-            self.running.add(stream)
-            await first_of(stream.over, asked.closed)
+            self.running_streams.add(stream)
+            await wait_for_any(stream.over, asked.closed)
             if stream.lost:
                 await asked.closed.wait()
                 return "lost"
             return "done" if stream.over.is_set() else "closed"
         finally:
             if stream:
-                self.running.discard(stream)
+                self.running_streams.discard(stream)
                 self.record.put("wrote", id=forward, tokens=stream.sent)
             self.used -= size
             self.slots -= 1
             self._admit()
 
-    async def _fetch(self, forward: str, transfer: dict, asked: Asked) -> bool:
+    async def _fetch(self, forward: str, transfer: dict, asked: ReceivedRequest) -> bool:
         question = {"zone": self.spec.zone, "cell": self.spec.cell, "by": forward}
         return await self._ask_holder(transfer, "/standin/fetch", question)
 
@@ -422,38 +436,41 @@
         question = {"id": transfer["remote_block_ids"][0], **question}
         client = None
         try:
-            client = await Client.open(f"{transfer['remote_host']}:{transfer['remote_port']}")
-            client.ask("POST", path, json.dumps(question).encode())
-            return await client.head() == 200
+            client = await ClientConnection.connect(f"{transfer['remote_host']}:{transfer['remote_port']}")
+            client.send_request("POST", path, json.dumps(question).encode())
+            return await client.read_status() == 200
         except (OSError, h11.ProtocolError):
             return False
         finally:
             if client:
                 client.close()
 
-    async def steps(self) -> None:
+    async def run_decode_steps(self) -> None:
         """The writer's beat: one token for each running answer a step."""
         while True:
-            busy = self.like.step + self.like.step_per_stream * len(self.running)
+            busy = self.profile.step + self.profile.step_per_stream * len(self.running_streams)
             if self.read_free_at > now() and self.role != "read":
                 busy *= 1.5  # reads slow the answers that run
             await asyncio.sleep(busy * self.pace() / 1e6)
             if self.fault("silent"):
                 continue
-            for stream in list(self.running):
+            for stream in list(self.running_streams):
                 self._token(stream)
 
     def _token(self, stream: Stream) -> None:
-        if stream.server.gone or stream.server.writer.transport.get_write_buffer_size() > ROOM_FOR_SLOW:
+        if (
+            stream.server.peer_closed
+            or stream.server.writer.transport.get_write_buffer_size() > ROOM_FOR_SLOW
+        ):
             return
         if stream.reset_after == stream.sent:
             self._tear(stream)
-            self.running.discard(stream)
+            self.running_streams.discard(stream)
             return
         if stream.lose_after >= 0 and stream.sent >= stream.lose_after:
             stream.lost = True
         if not stream.sent and not stream.lost:
-            stream.server.begin(
+            stream.server.start_response(
                 200,
                 {
                     "content-type": "text/event-stream",
@@ -468,7 +485,7 @@
             self._event(stream, {"choices": [self._delta({"content": word})]})
         if stream.words:
             return
-        self.running.discard(stream)
+        self.running_streams.discard(stream)
         if not stream.lost:
             self._event(stream, {"choices": [self._delta({}, "stop")]})
             used = {
@@ -478,8 +495,8 @@
                 "prompt_tokens_details": {"cached_tokens": stream.kept},
             }
             self._event(stream, {"choices": [], "usage": used})
-            stream.server.data(b"data: [DONE]\n\n")
-            stream.server.end()
+            stream.server.send_data(b"data: [DONE]\n\n")
+            stream.server.end_response()
         stream.over.set()
 
     def _words(self, body: dict, most: int) -> tuple[deque[str], dict[str, str]]:
@@ -504,7 +521,9 @@
         """Breaks a stream: by a reset, or in the middle of an event's bytes."""
         if stream.sent and self.chance.random() < 0.5:
             event = b'data: {"choices":[{"index":0,"delta":{"content":"torn'
-            stream.server.raw(b"%x\r\n" % (len(event) + 20) + event[: self.chance.randint(0, len(event))])
+            stream.server.send_raw(
+                b"%x\r\n" % (len(event) + 20) + event[: self.chance.randint(0, len(event))]
+            )
             stream.server.writer.close()
         else:
             stream.server.reset()
@@ -519,17 +538,19 @@
             "created": 1,
             "model": stream.model,
         }
-        stream.server.data(b"data: " + json.dumps(made | part).encode() + b"\n\n")
+        stream.server.send_data(b"data: " + json.dumps(made | part).encode() + b"\n\n")
 
     def _load(self, more: dict[str, str] | None = None) -> dict[str, str]:
         """The ORCA load report, in its JSON form."""
         load = {
-            "cpu_utilization": min(self.slots / self.like.slots, 1.0),
+            "cpu_utilization": min(self.slots / self.profile.slots, 1.0),
             "mem_utilization": min(self.used / self.memory, 1.0),
-            "application_utilization": min(self.slots / self.like.slots, 1.0),
+            "application_utilization": min(self.slots / self.profile.slots, 1.0),
             "named_metrics": {
-                "num_requests_waiting": float(len(self.waiting) + max(self.reading - self.like.slots, 0)),
-                "num_requests_running": float(self.slots + min(self.reading, self.like.slots)),
+                "num_requests_waiting": float(
+                    len(self.waiting) + max(self.prefill_count - self.profile.slots, 0)
+                ),
+                "num_requests_running": float(self.slots + min(self.prefill_count, self.profile.slots)),
                 "kv_cache_usage_perc": min(self.used / self.memory, 1.0),
                 "prompt_tokens_waiting": float(self.unread),
             },
@@ -548,11 +569,11 @@
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
     engine = Engine(fleet, fleet.engines[name], seed, Record(record), cold)
     host, _, port = address.rpartition(":")
-    server = await asyncio.start_server(engine.connection, host, int(port), backlog=4096)
+    server = await asyncio.start_server(engine.handle_connection, host, int(port), backlog=4096)
     engine.address = "{}:{}".format(*server.sockets[0].getsockname()[:2])
     say(engine.address)
     async with asyncio.TaskGroup() as tasks:
-        beat = tasks.create_task(engine.steps())
+        beat = tasks.create_task(engine.run_decode_steps())
         await stop.wait()
         beat.cancel()
     server.close()
--- a/lifthead/standins/faults/engine.py
+++ b/lifthead/standins/faults/engine.py
@@ -17,7 +17,7 @@
 from lifthead.standins.faults import settings
 from lifthead.standins.faults.misbehaviour import ANSWERS, Misbehaviour, draw
 from lifthead.standins.record import Record
-from lifthead.standins.wire import Asked, Server
+from lifthead.standins.wire import ReceivedRequest, ServerConnection
 
 TRACE = "x-trace-id"
 EXPIRES = "x-expires-in-ms"  # how long the router will wait for the first token
@@ -74,27 +74,27 @@
         self.record.put(event, request=request, engine=self.spec.name, **more)
 
     async def connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        server = Server(reader, writer)
+        server = ServerConnection(reader, writer)
         port = writer.get_extra_info("peername")[1]
         with contextlib.suppress(OSError):
-            while asked := await server.next():
+            while asked := await server.read_request():
                 if not await self._answer(server, asked, port):
                     break
                 server.http.start_next_cycle()
         writer.close()
 
-    async def _answer(self, server: Server, asked: Asked, port: int) -> bool:
+    async def _answer(self, server: ServerConnection, asked: ReceivedRequest, port: int) -> bool:
         """Answers one request; whether the connection serves another."""
         if asked.path.startswith(INTERNAL):
             return await self._peer(server, asked)
         if asked.method == "DELETE" and asked.path.startswith(RELEASE_PATH):
             await self._release(asked.path.removeprefix(RELEASE_PATH))
-            server.begin(204, {})
-            server.end()
+            server.start_response(204, {})
+            server.end_response()
             return True
         request = asked.headers.get(TRACE, "")
         if not request:
-            server.whole(404, b"")
+            server.send_response(404, b"")
             return True
         asked.headers.setdefault(EXPIRES, str(EXPIRES_MS))
         await asyncio.sleep(self.spec.takes_up_after)
@@ -103,7 +103,7 @@
         kind = draw(self.chance, self.spec.misbehaves, is_prefill)
         serve = self._prefill if is_prefill else self._decode
         async with asyncio.TaskGroup() as tasks:
-            watching = tasks.create_task(server.watch(asked, self.spec.sees_close_after))
+            watching = tasks.create_task(server.wait_for_close(asked, self.spec.sees_close_after))
             goes_on = not kind.works or await serve(server, asked, request, port, kind)
             if goes_on and not kind.answers and not server.has_answered:
                 goes_on = self._answer_otherwise(server, kind)
@@ -111,13 +111,13 @@
         self.put("over", request, port=port)
         return goes_on and kind is not Misbehaviour.CLOSES
 
-    def _answer_otherwise(self, server: Server, kind: Misbehaviour) -> bool:
+    def _answer_otherwise(self, server: ServerConnection, kind: Misbehaviour) -> bool:
         """Whether the connection serves another request."""
         if answer := ANSWERS.get(kind):
-            server.whole(answer.status, b"", answer.headers)
+            server.send_response(answer.status, b"", answer.headers)
         return answer is not None
 
-    async def _pause(self, asked: Asked, seconds: float) -> bool:
+    async def _pause(self, asked: ReceivedRequest, seconds: float) -> bool:
         """Whether the router is still there after this time, and waits as long as it has told."""
         waits = int(asked.headers[EXPIRES]) / 1000 + EXPIRES_SLACK
         with contextlib.suppress(TimeoutError):
@@ -126,7 +126,7 @@
         return not asked.closed.is_set() and seconds <= waits
 
     async def _prefill(
-        self, server: Server, asked: Asked, request: str, port: int, kind: Misbehaviour
+        self, server: ServerConnection, asked: ReceivedRequest, request: str, port: int, kind: Misbehaviour
     ) -> bool:
         takes = self.spec.read_takes * self.chance.uniform(0.5, 1.5)
         kept = PROMPT_KEPT if request in self.kept else 0
@@ -137,35 +137,35 @@
         self.held[request] = 0
         self.put("held", request, port=port)
         if kind.answers:
-            server.whole(202, b'{"cached_tokens":%d}' % kept)
-        return not asked.closed.is_set() and not server.gone
+            server.send_response(202, b'{"cached_tokens":%d}' % kept)
+        return not asked.closed.is_set() and not server.peer_closed
 
     async def _decode(
-        self, server: Server, asked: Asked, request: str, port: int, kind: Misbehaviour
+        self, server: ServerConnection, asked: ReceivedRequest, request: str, port: int, kind: Misbehaviour
     ) -> bool:
         known = await self._ask_peers("wait", request)
         if known == "held":
             self.put("waiting", request, port=port)
         if known == "gone":
-            server.whole(410, b"", {"x-never-ran": "1"})
+            server.send_response(410, b"", {"x-never-ran": "1"})
             return True
         if not await self._pause(asked, self._first_token_takes(request)):
             if known:
                 await self._ask_peers("leave", request)
             return False
         if known and await self._ask_peers("take", request) != "taken":
-            server.whole(410, b"", {"x-never-ran": "1"})
+            server.send_response(410, b"", {"x-never-ran": "1"})
             return True
         self.put("ran", request, qos=asked.headers.get("x-qos", ""))
         if not kind.answers:
             return True
-        server.begin(200, {"content-type": "text/event-stream", "transfer-encoding": "chunked"})
+        server.start_response(200, {"content-type": "text/event-stream", "transfer-encoding": "chunked"})
         for _ in range(EVENTS):
-            server.data(TOKEN)
+            server.send_data(TOKEN)
             if not await self._pause(asked, EVENT_EVERY):
                 return False
-        server.data(USAGE)
-        server.end()
+        server.send_data(USAGE)
+        server.end_response()
         return True
 
     def _first_token_takes(self, request: str) -> float:
@@ -198,7 +198,7 @@
     async def _ask_peer(self, port: int, what: str, request: str) -> str:
         path, within = f"{INTERNAL}{what}/{request}", LEAVE_WITHIN if what == "leave" else PEER_WITHIN
         try:
-            _, body = await wire.call(f"127.0.0.1:{port}", "POST", path, within=within)
+            _, body = await wire.call(f"127.0.0.1:{port}", "POST", path, timeout=within)
             return body.decode()
         except TimeoutError:  # it may count this call as one that waits when it comes to it
             if what == "wait":
@@ -207,7 +207,7 @@
             pass
         return ""
 
-    async def _peer(self, server: Server, asked: Asked) -> bool:
+    async def _peer(self, server: ServerConnection, asked: ReceivedRequest) -> bool:
         """A question of another engine about a state that is, or was, held here."""
         what, _, request = asked.path.removeprefix(INTERNAL).partition("/")
         answer = "gone" if request in self.read else ""
@@ -221,7 +221,7 @@
                 del self.held[request]
                 answer = "taken" if what == "take" else "released"
                 self.put(answer, request)
-        server.whole(200, answer.encode(), {"connection": "close"})
+        server.send_response(200, answer.encode(), {"connection": "close"})
         return False
 
 
--- a/lifthead/standins/listing.py
+++ b/lifthead/standins/listing.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass, field
 
 from lifthead.standins.record import Record
-from lifthead.standins.wire import Server
+from lifthead.standins.wire import ServerConnection
 
 
 @dataclass(slots=True, eq=False)
 class Follower:
     router: str
-    server: Server
+    server: ServerConnection
     queue: asyncio.Queue = field(default_factory=asyncio.Queue)
 
 
@@ -22,20 +22,20 @@
         self._record = record
         self._followers: set[Follower] = set()
 
-    async def connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        server = Server(reader, writer)
-        asked = await server.next()
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        server = ServerConnection(reader, writer)
+        asked = await server.read_request()
         if asked is None or asked.path != "/v1/engines":
             writer.close()
             return
         follower = Follower(asked.headers.get("x-router", ""), server)
-        server.begin(200, {"content-type": "application/x-ndjson", "transfer-encoding": "chunked"})
+        server.start_response(200, {"content-type": "application/x-ndjson", "transfer-encoding": "chunked"})
         follower.queue.put_nowait((True, [dict(entry) for entry in self.entries.values()]))
         self._followers.add(follower)
         try:
             async with asyncio.TaskGroup() as tasks:
                 push = tasks.create_task(self._push(follower))
-                await server.watch(asked)
+                await server.wait_for_close(asked)
                 push.cancel()
         finally:
             self._followers.discard(follower)
@@ -44,7 +44,7 @@
     async def _push(self, follower: Follower) -> None:
         while True:
             whole, entries = await follower.queue.get()
-            follower.server.data(json.dumps({"whole": whole, "engines": entries}).encode() + b"\n")
+            follower.server.send_data(json.dumps({"whole": whole, "engines": entries}).encode() + b"\n")
             for entry in entries:
                 self._record.put(
                     "told",
--- a/lifthead/standins/crowd.py
+++ b/lifthead/standins/load_generator.py
@@ -12,13 +12,13 @@
 from lifthead.deployment.fleet import ClientLoad, Fleet, RequestMix
 from lifthead.standins.record import Record, now
 from lifthead.standins.text import answer, filler
-from lifthead.standins.wire import Client
+from lifthead.standins.wire import ClientConnection
 
-MOST_PROMPT = 24_000  # tokens, where a trouble makes prompts longer
+MAX_PROMPT_TOKENS = 24_000  # tokens, where a trouble makes prompts longer
 
 
 @dataclass(slots=True)
-class Trend:
+class LoadChange:
     """What a trouble changes in the crowd while it lasts."""
 
     rate: float = 1.0
@@ -42,7 +42,7 @@
     left: int = 0
 
 
-class Clients:
+class LoadGenerator:
     """Plays one crowd against routers that `addresses` gives, in turn, passing over those that refuse."""
 
     def __init__(
@@ -50,7 +50,7 @@
     ) -> None:
         self.fleet, self.crowd, self.record, self.addresses = fleet, crowd, record, addresses
         self.chance = random.Random(seed)
-        self.trends: list[Trend] = []
+        self.trends: list[LoadChange] = []
         self.sessions: list[Session] = []
         self.asked = self._begun = 0
         self._beginnings = {
@@ -59,7 +59,7 @@
         }
         self._models = {group.name: group.models[0] for group in fleet.groups.values()}
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         """All arrivals, then the ends of all tries."""
         until = now() + self.crowd.length
         async with asyncio.TaskGroup() as tasks:
@@ -108,7 +108,7 @@
         tokens = max(round(chance.lognormvariate(0, 0.6) * mix.new_tokens), 8)
         long = next((t for t in self.trends if t.long_part and t.long_group in ("", mix.group)), None)
         if long and chance.random() < long.long_part:
-            tokens = min(round(tokens * long.long_times), MOST_PROMPT)
+            tokens = min(round(tokens * long.long_times), MAX_PROMPT_TOKENS)
         session.messages.append({"role": "user", "content": filler(chance, tokens)})
         group, self.asked = self.fleet.groups[mix.group], self.asked + 1
         name, began = f"c{self.asked}", now()
@@ -177,7 +177,7 @@
         for turn in range(len(addresses)):
             address = addresses[(session.router + turn) % len(addresses)]
             try:
-                client = await Client.open(address)
+                client = await ClientConnection.connect(address)
                 break
             except OSError:
                 continue
@@ -207,7 +207,7 @@
         how = "broken"
         try:
             async with asyncio.timeout(leaving or None):
-                client.ask("POST", "/v1/chat/completions", body, headers)
+                client.send_request("POST", "/v1/chat/completions", body, headers)
                 how = await (self._streamed if streamed else self._whole)(client, seen, expected, slow)
         except TimeoutError:
             how = "left"
@@ -230,27 +230,27 @@
         )
         return how, max(seen["retry_ms"] / 1000, 0.02)
 
-    async def _refused(self, client: Client, seen: dict) -> str:
+    async def _refused(self, client: ClientConnection, seen: dict) -> str:
         seen["retry_ms"] = int(client.headers.get("retry-after-ms", "100"))
-        body = json.loads(await client.rest())
+        body = json.loads(await client.read_body())
         if body["error"]["code"] == "not_ready":
             return "not taken"
         return "pushed back" if client.status in (429, 503) else "aborted"
 
-    async def _whole(self, client: Client, seen: dict, expected: str, slow: bool) -> str:
-        seen["status"] = await client.head()
+    async def _whole(self, client: ClientConnection, seen: dict, expected: str, slow: bool) -> str:
+        seen["status"] = await client.read_status()
         if client.status != 200:
             return await self._refused(client, seen)
-        body = json.loads(await client.rest())
+        body = json.loads(await client.read_body())
         seen["first"], seen["tokens"] = now(), body["usage"]["completion_tokens"]
         return "done" if body["choices"][0]["message"]["content"] == expected else "wrong"
 
-    async def _streamed(self, client: Client, seen: dict, expected: str, slow: bool) -> str:
-        seen["status"] = await client.head()
+    async def _streamed(self, client: ClientConnection, seen: dict, expected: str, slow: bool) -> str:
+        seen["status"] = await client.read_status()
         if client.status != 200:
             return await self._refused(client, seen)
         left, text, end = b"", [], ""
-        while data := await client.more():
+        while data := await client.read_data():
             *events, left = (left + data).split(b"\n\n")
             for event in events:
                 said = event.partition(b"data: ")[2]
--- a/lifthead/standins/stage.py
+++ b/lifthead/standins/local_fleet.py
@@ -20,30 +20,30 @@
 START_WITHIN = 60.0
 
 
-class Stage:
+class LocalFleet:
     """One fleet's processes, from `start` to `close`. `serve` is a router's command, to which its options are
     added; another one can be given to measure something else on the same stage."""
 
     def __init__(self, fleet: Fleet, script: Path, out: Path, seed: int, serve: Sequence[str] = ()) -> None:
         self.fleet, self.script, self.out, self.seed = fleet, script, out, seed
         self.record = Record(out / "stage.jsonl")
-        self.list = ListService(Record(out / "list.jsonl"))
+        self.list_service = ListService(Record(out / "list.jsonl"))
         self.routers: dict[str, dict[str, Any]] = {}  # what each said of itself; left out while it is down
         self.engines: dict[str, dict[str, Any]] = {}
-        self._serve = list(serve) or [sys.executable, "-m", "lifthead.cli", "serve"]
+        self._router_command = list(serve) or [sys.executable, "-m", "lifthead.cli", "serve"]
         self._processes: dict[str, asyncio.subprocess.Process] = {}
-        self._lists: asyncio.Server | None = None
+        self._list_server: asyncio.Server | None = None
         self.list_url = ""
         self.engine_file: Path | None = None  # routers that start go by this file, not by the pushed list
         self._starts = 0
 
     async def start(self) -> None:
-        self._lists = await asyncio.start_server(self.list.connection, "127.0.0.1", 0)
-        self.list_url = "http://{}:{}/v1/engines".format(*self._lists.sockets[0].getsockname()[:2])
+        self._list_server = await asyncio.start_server(self.list_service.handle_connection, "127.0.0.1", 0)
+        self.list_url = "http://{}:{}/v1/engines".format(*self._list_server.sockets[0].getsockname()[:2])
         await asyncio.gather(*(self.start_engine(name, cold=False) for name in self.fleet.engines))
         await asyncio.gather(*(self.start_router(name) for name in self.fleet.routers))
 
-    async def _run(self, name: str, command: Sequence[str]) -> dict[str, Any]:
+    async def _start_process(self, name: str, command: Sequence[str]) -> dict[str, Any]:
         """Starts a process and returns the line in which it says that it is ready."""
         errors = open(self.out / f"{name}.err", "ab")  # noqa: SIM115 - closed below, the child keeps its own
         process = await asyncio.create_subprocess_exec(
@@ -63,7 +63,7 @@
         spec = self.fleet.engines[name]
         address = self.engines[name]["address"] if name in self.engines else spec.address
         self._starts += 1
-        said = await self._run(
+        said = await self._start_process(
             name,
             [
                 sys.executable,
@@ -82,11 +82,11 @@
             ],
         )
         self.engines[name] = said
-        await self.list.change(self._entry(name, "ready", time.time_ns() // 1000 if cold else 0))
+        await self.list_service.change(self._entry(name, "ready", time.time_ns() // 1000 if cold else 0))
 
     def _entry(self, name: str, readiness: str, started_at: int | None = None) -> dict[str, Any]:
         spec = self.fleet.engines[name]
-        known = self.list.entries.get(name, {})
+        known = self.list_service.entries.get(name, {})
         return {
             "name": name,
             "address": self.engines[name]["address"],
@@ -98,16 +98,18 @@
             "started_at": known.get("started_at", 0) if started_at is None else started_at,
         }
 
-    async def say(self, readiness: str, *names: str, limit: int = 0) -> None:
+    async def publish_readiness(self, readiness: str, *names: str, limit: int = 0) -> None:
         """The list's news of engines: `ready`, `draining` (within `limit` microseconds, if any) or `gone`."""
         by = time.time_ns() // 1000 + limit if limit else 0
-        await self.list.change(*(self._entry(name, readiness) | {"drains_by": by} for name in names))
+        await self.list_service.change(*(self._entry(name, readiness) | {"drains_by": by} for name in names))
 
-    def address(self, router: str) -> str:
+    def router_address(self, router: str) -> str:
         """Where a running router listens."""
         return self.routers[router]["base_url"].split("/")[2]
 
-    async def fault(self, name: str, what: str, lasts: int, part: float, times: float, group: str) -> None:
+    async def inject_fault(
+        self, name: str, what: str, lasts: int, part: float, times: float, group: str
+    ) -> None:
         said = msgspec.json.encode(
             {"what": what, "lasts": int(lasts), "part": part, "times": times, "group": group}
         )
@@ -116,10 +118,10 @@
 
     async def start_router(self, name: str) -> None:
         source = ["--engines", str(self.engine_file)] if self.engine_file else ["--list", self.list_url]
-        said = await self._run(
+        said = await self._start_process(
             name,
             [
-                *self._serve,
+                *self._router_command,
                 str(self.script),
                 "--router",
                 name,
@@ -145,11 +147,11 @@
             await asyncio.sleep(0.05)
         raise RuntimeError(f"the router at {address} did not get ready")
 
-    async def end(self, name: str, how: signal.Signals) -> int:
+    async def stop_process(self, name: str, how: signal.Signals) -> int:
         """Signals a process and waits for its exit; returns its exit code."""
         process = self._processes.pop(name)
         if name in self.routers:
-            address = self.address(name)
+            address = self.router_address(name)
             del self.routers[name]
             self.record.put(
                 "router_killed" if how is signal.SIGKILL else "router_stop", name=name, address=address
@@ -167,28 +169,30 @@
         name = str(question.get("name"))
         if name not in self._processes:
             return {"error": f"expected one of {sorted(self._processes)}, got {name!r}"}
-        await self.end(name, signal.SIGTERM)
+        await self.stop_process(name, signal.SIGTERM)
         await (self.start_engine(name, cold=True) if name in self.fleet.engines else self.start_router(name))
         return {}
 
-    async def close(self) -> dict[str, int]:
+    async def stop(self) -> dict[str, int]:
         """Stops the routers, then the engines; exit codes by name."""
         codes = {}
         for names in (list(self.routers), [name for name in self._processes if name not in self.routers]):
             for name, code in zip(
-                names, await asyncio.gather(*(self.end(name, signal.SIGTERM) for name in names)), strict=True
+                names,
+                await asyncio.gather(*(self.stop_process(name, signal.SIGTERM) for name in names)),
+                strict=True,
             ):
                 codes[name] = code
-        if self._lists:
-            self._lists.close()
+        if self._list_server:
+            self._list_server.close()
         return codes
 
-    async def abandon(self) -> None:
+    async def kill_all(self) -> None:
         """Ends whatever still runs."""
         for name in list(self._processes):
-            await self.end(name, signal.SIGKILL)
+            await self.stop_process(name, signal.SIGKILL)
 
-    def line(self) -> dict[str, Any]:
+    def describe(self) -> dict[str, Any]:
         """What `lifthead up --json` prints."""
         return {
             "routers": [
--- a/lifthead/standins/record.py
+++ b/lifthead/standins/record.py
@@ -15,7 +15,7 @@
     return time.monotonic_ns() // 1000
 
 
-def facts(fleet: Fleet) -> dict[str, Any]:
+def checker_settings(fleet: Fleet) -> dict[str, Any]:
     """What a day's records say of its rules, for the checker."""
     rules = ("drain_grace", "let_go_within", "cold_share", "warm_within", "tip_multiple", "overload_for")
     group = ("effect", "keyed_within", "keyed_for")
--- a/lifthead/standins/wire.py
+++ b/lifthead/standins/wire.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ReceivedRequest:
     method: str
     path: str
     headers: dict[str, str]
@@ -18,15 +18,15 @@
     closed_at: int = 0  # ... at this time
 
 
-class Server:
+class ServerConnection:
     """One connection's server side: reqs one after the other, with news of a peer that leaves."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.http = h11.Connection(h11.SERVER)
-        self.gone = False
+        self.peer_closed = False
 
-    async def next(self) -> Asked | None:
+    async def read_request(self) -> ReceivedRequest | None:
         asked, body = None, []
         while True:
             event = self.http.next_event()
@@ -37,7 +37,7 @@
                 self.http.receive_data(data)
             elif isinstance(event, h11.Request):
                 headers = {name.decode(): value.decode("latin-1") for name, value in event.headers}
-                asked = Asked(event.method.decode(), event.target.decode("latin-1"), headers)
+                asked = ReceivedRequest(event.method.decode(), event.target.decode("latin-1"), headers)
             elif isinstance(event, h11.Data):
                 body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage) and asked:
@@ -46,7 +46,7 @@
             else:
                 return None
 
-    async def watch(self, asked: Asked, late: float = 0.0) -> None:
+    async def wait_for_close(self, asked: ReceivedRequest, late: float = 0.0) -> None:
         """Ends when the peer closes, or so many seconds later: this end is late to see it."""
         while True:
             try:
@@ -55,7 +55,7 @@
                 data = b""
             if not data:
                 await asyncio.sleep(late)
-                self.gone, asked.closed_at = True, now()
+                self.peer_closed, asked.closed_at = True, now()
                 asked.closed.set()
                 return
 
@@ -64,26 +64,26 @@
         """Whether the answer to the request in hand has begun."""
         return self.http.our_state is not h11.SEND_RESPONSE
 
-    def begin(self, status: int, headers: dict[str, str]) -> None:
+    def start_response(self, status: int, headers: dict[str, str]) -> None:
         self._put(h11.Response(status_code=status, headers=list(headers.items())))
 
-    def data(self, data: bytes) -> None:
+    def send_data(self, data: bytes) -> None:
         self._put(h11.Data(data=data))
 
-    def end(self) -> None:
+    def end_response(self) -> None:
         self._put(h11.EndOfMessage())
 
-    def whole(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
+    def send_response(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
         fields = {"content-type": "application/json", "content-length": str(len(body)), **(headers or {})}
-        self.begin(status, fields)
-        self.data(body)
-        self.end()
+        self.start_response(status, fields)
+        self.send_data(body)
+        self.end_response()
 
-    def raw(self, data: bytes) -> None:
+    def send_raw(self, data: bytes) -> None:
         self.writer.write(data)
 
     def _put(self, event: h11.Event) -> None:
-        if not self.gone and not self.writer.transport.is_closing():
+        if not self.peer_closed and not self.writer.transport.is_closing():
             self.writer.write(self.http.send(event) or b"")
 
     def reset(self) -> None:
@@ -97,7 +97,7 @@
         self.writer.transport.abort()
 
 
-class Client:
+class ClientConnection:
     """One connection's client side."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -107,17 +107,19 @@
         self.headers: dict[str, str] = {}
 
     @classmethod
-    async def open(cls, address: str) -> "Client":
+    async def connect(cls, address: str) -> "ClientConnection":
         host, _, port = address.rpartition(":")
         return cls(*await asyncio.open_connection(host, int(port), limit=65_536))
 
-    def ask(self, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None) -> None:
+    def send_request(
+        self, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
+    ) -> None:
         fields = {"host": "stand-in", "content-length": str(len(body)), **(headers or {})}
         sent = self.http.send(h11.Request(method=method, target=path, headers=list(fields.items()))) or b""
         sent += (self.http.send(h11.Data(data=body)) or b"") if body else b""
         self.writer.write(sent + (self.http.send(h11.EndOfMessage()) or b""))
 
-    async def head(self) -> int:
+    async def read_status(self) -> int:
         while not self.status:
             event = await self._event()
             if isinstance(event, h11.Response):
@@ -125,7 +127,7 @@
                 self.headers = {name.decode(): value.decode("latin-1") for name, value in event.headers}
         return self.status
 
-    async def more(self) -> bytes:
+    async def read_data(self) -> bytes:
         """The next bytes of the body, b"" at its end."""
         while True:
             event = await self._event()
@@ -134,9 +136,9 @@
             if isinstance(event, h11.EndOfMessage):
                 return b""
 
-    async def rest(self) -> bytes:
+    async def read_body(self) -> bytes:
         parts = []
-        while part := await self.more():
+        while part := await self.read_data():
             parts.append(part)
         return b"".join(parts)
 
@@ -155,21 +157,21 @@
 
 
 async def call(
-    address: str, method: str, path: str, body: bytes = b"", within: float = 5.0
+    address: str, method: str, path: str, body: bytes = b"", timeout: float = 5.0
 ) -> tuple[int, bytes]:
     """One question on a connection of its own."""
     client = None
     try:
-        async with asyncio.timeout(within):
-            client = await Client.open(address)
-            client.ask(method, path, body, {"connection": "close"})
-            return await client.head(), await client.rest()
+        async with asyncio.timeout(timeout):
+            client = await ClientConnection.connect(address)
+            client.send_request(method, path, body, {"connection": "close"})
+            return await client.read_status(), await client.read_body()
     finally:
         if client:
             client.close()
 
 
-async def first_of(*events: asyncio.Event) -> None:
+async def wait_for_any(*events: asyncio.Event) -> None:
     """Waits until one of them is set."""
     async with asyncio.TaskGroup() as tasks:
         waits = [tasks.create_task(event.wait()) for event in events]
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -68,10 +68,10 @@
         for name in self.names:
             record = Record(self.path / f"engine-{name}.jsonl")
             engine = self.engines[name] = Engine(self.fleet, self.fleet.engines[name], 1, record, False)
-            engine.address = self.engine_addresses[name] = await self._listen(engine.connection)
+            engine.address = self.engine_addresses[name] = await self._listen(engine.handle_connection)
             self.background_tasks = [
                 *getattr(self, "background_tasks", []),
-                self._group.create_task(engine.steps()),
+                self._group.create_task(engine.run_decode_steps()),
             ]
         for name, handler in self.handlers.items():
             self.engine_addresses[name] = await self._listen(handler)
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -25,7 +25,7 @@
         async with Processes(tmp_path, TWO.replace("limits(", 'limits(stop_notice = "400ms", ')) as stage:
             balancer, over, answers = Balancer(Record(tmp_path / "balancer.jsonl"), 1), asyncio.Event(), []
             for name, said in stage.routers.items():
-                balancer.add(name, stage.address(name), said["agent"], said["health"])
+                balancer.add(name, stage.router_address(name), said["agent"], said["health"])
 
             async def client(number):
                 at = balancer.choose()
@@ -56,7 +56,9 @@
                 await asyncio.sleep(0.3)
 
                 stopped = time.monotonic_ns() // 1000
-                assert await stage.end("r1", signal.SIGTERM) == 0  # says drain first, so that nothing is lost
+                assert (
+                    await stage.stop_process("r1", signal.SIGTERM) == 0
+                )  # says drain first, so that nothing is lost
                 await asyncio.sleep(0.3)
                 over.set()
                 await asyncio.sleep(0.3)
@@ -79,14 +81,14 @@
         async with Processes(tmp_path, TWO) as stage:
             balancer = Balancer(Record(tmp_path / "balancer.jsonl"), 1)
             for name, said in stage.routers.items():
-                balancer.add(name, stage.address(name), said["agent"], said["health"])
+                balancer.add(name, stage.router_address(name), said["agent"], said["health"])
             async with asyncio.TaskGroup() as tasks:
                 check = tasks.create_task(balancer.check())
                 await until(lambda: all(each.up for each in balancer.behind.values()))
-                await stage.say("gone", "wr", "wr2")
+                await stage.publish_readiness("gone", "wr", "wr2")
                 await until(lambda: not any(each.up for each in balancer.behind.values()))
                 assert balancer.choose() is None
-                await stage.say("ready", "wr")
+                await stage.publish_readiness("ready", "wr")
                 await until(lambda: all(each.up for each in balancer.behind.values()))
                 check.cancel()
             words = [
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -9,7 +9,7 @@
 from loopback import KEY, Loopback, body, http, post_chat, send_raw
 
 from lifthead.engines.codec import ListedEngine, ListUpdate
-from lifthead.standins.cold import Warmth
+from lifthead.standins.cold import WarmUp
 
 LONG = "fuel card " * 2500  # some 6,000 tokens: goes to a prefill engine
 
@@ -129,7 +129,7 @@
             if stage == "read":
                 loopback.fault("rd", "slow", times=20.0)
             if stage == "fetch":
-                loopback.engines["rd"].like = type(loopback.engines["rd"].like)(
+                loopback.engines["rd"].profile = type(loopback.engines["rd"].profile)(
                     kind="reader", near_per_s=5000.0
                 )
             if stage == "stream":
@@ -145,7 +145,7 @@
             await loopback.until(lambda: loopback.record(where)[-1]["ev"] in ("end", "let_go", "wrote"), 3.0)
             await loopback.until(
                 lambda: held_states(loopback)[0] == held_states(loopback)[1]
-                and (stage != "read" or held_states(loopback)[0] or loopback.engines["rd"].reading == 0)
+                and (stage != "read" or held_states(loopback)[0] or loopback.engines["rd"].prefill_count == 0)
             )
             assert all(line.get("why") != "forgotten" for line in loopback.record("rd"))
             assert len(attempts_at(loopback, "rd", "wr")) == (1 if stage == "read" else 2)
@@ -190,9 +190,12 @@
             loopback.fault("rd", "slow", times=10.0)
             status, _, _ = await post_chat(loopback.address, body(LONG), x_req_budget_ms="200")
             assert status == 504
-            await loopback.until(lambda: loopback.engines["rd"].reading == 0)
+            await loopback.until(lambda: loopback.engines["rd"].prefill_count == 0)
             await asyncio.sleep(0.1)
-            assert not loopback.engines["rd"].held and held_states(loopback)[0] == held_states(loopback)[1]
+            assert (
+                not loopback.engines["rd"].held_states
+                and held_states(loopback)[0] == held_states(loopback)[1]
+            )
 
     run(scenario())
 
@@ -342,14 +345,14 @@
             # The engine stays cold for the whole test: once warm, it would serve all that it gets.
             rules = msgspec.structs.replace(loopback.fleet.rules, warm_within=60_000_000)
             loopback.daemon.host.router.slow_start.duration = rules.warm_within
-            loopback.engines["wr"].warmth = Warmth(rules, time.monotonic_ns() // 1000, cold=True)
+            loopback.engines["wr"].warm_up = WarmUp(rules, time.monotonic_ns() // 1000, cold=True)
             started = time.time_ns() // 1000
             entry = ListedEngine("wr", loopback.engine_addresses["wr"], "a", 0, "writer", started_at=started)
             loopback.daemon.host.on_engine_list(ListUpdate(False, [entry]))
             answers = await asyncio.gather(*(post_chat(loopback.address, body(str(n))) for n in range(1000)))
             statuses = [status for status, _, _ in answers]
             assert len(statuses) == 1000 and set(statuses) <= {200, 502, 503, 504}
-            assert not loopback.engines["wr"].warmth.fallen and statuses.count(503) > 900
+            assert not loopback.engines["wr"].warm_up.overloaded and statuses.count(503) > 900
 
     run(scenario())
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from lifthead.deployment import script
 from lifthead.fleet import admin
 from lifthead.fleet.health import RouterStatus
-from lifthead.standins.stage import Stage
+from lifthead.standins.local_fleet import LocalFleet
 from lifthead.standins.wire import call
 
 
@@ -25,14 +25,14 @@
     def __init__(self, path, text=SCRIPT):
         self.file = path / "fleet.star"
         self.file.write_text(text)
-        self.stage = Stage(script.read(self.file), self.file, path, 1)
+        self.stage = LocalFleet(script.read(self.file), self.file, path, 1)
 
     async def __aenter__(self):
         await self.stage.start()
         return self.stage
 
     async def __aexit__(self, *_):
-        await self.stage.abandon()
+        await self.stage.kill_all()
 
 
 def run(coroutine):
@@ -40,7 +40,7 @@
 
 
 def address(stage):
-    return stage.address("r")
+    return stage.router_address("r")
 
 
 async def agent_check(stage):
@@ -89,13 +89,13 @@
             with pytest.raises(openai.AuthenticationError):
                 await client.with_options(api_key="nobody-knows").chat.completions.create(**question)
             for name in ("wr", "wr2"):
-                await stage.fault(name, "full", 30_000_000, 1.0, 1.0, "chat")
+                await stage.inject_fault(name, "full", 30_000_000, 1.0, 1.0, "chat")
             with pytest.raises(openai.InternalServerError) as problem:
                 await client.chat.completions.create(**question)
             assert problem.value.status_code == 503 and "retry-after" in problem.value.response.headers
             for name in ("wr", "wr2"):
-                await stage.fault(name, "full", 0, 1.0, 1.0, "chat")
-                await stage.fault(name, "reset", 30_000_000, 1.0, 1.0, "")
+                await stage.inject_fault(name, "full", 0, 1.0, 1.0, "chat")
+                await stage.inject_fault(name, "reset", 30_000_000, 1.0, 1.0, "")
             with pytest.raises(openai.APIError):
                 for _ in range(8):  # the reset falls at random before the first token or within the stream
                     async for _ in await client.chat.completions.create(
@@ -109,8 +109,8 @@
 def test_a_stop_answers_every_request_whatever_its_progress(tmp_path):
     async def play():
         async with Processes(tmp_path) as stage:
-            await stage.fault("rd", "slow", 30_000_000, 1.0, 8.0, "")
-            await stage.fault("wr", "slow", 30_000_000, 1.0, 6.0, "")
+            await stage.inject_fault("rd", "slow", 30_000_000, 1.0, 8.0, "")
+            await stage.inject_fault("wr", "slow", 30_000_000, 1.0, 6.0, "")
             router = address(stage)
             requests = [
                 asyncio.create_task(
@@ -147,7 +147,7 @@
                 for _ in range(5)
             ]
             await asyncio.sleep(0.2)
-            await stage.end("r", signal.SIGKILL)
+            await stage.stop_process("r", signal.SIGKILL)
             for answer in await asyncio.gather(*requests, return_exceptions=True):
                 assert isinstance(answer, OSError) or b"[DONE]" not in answer
             began = time.monotonic()
@@ -186,7 +186,7 @@
                 (await asyncio.to_thread(lifthead, "engines", "--run", tmp_path, "--json")).stdout
             )
             assert [row["name"] for row in engines["r"]] == ["rd", "wr", "wr2"]
-            await stage.say("gone", "wr", "wr2")
+            await stage.publish_readiness("gone", "wr", "wr2")
             await asyncio.sleep(0.2)
             assert await agent_check(stage) == b"down\n" and (await call(health, "GET", "/ready"))[0] == 503
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -36,7 +36,7 @@
 
 
 async def successor(stage, path):
-    return await stage._run("next", [
+    return await stage._start_process("next", [
         sys.executable, "-m", "lifthead.cli", "serve", str(path / "fleet.star"), "--router", "r", "--list",
         stage.list_url, "--run", str(path), "--log", str(path / "log-next.jsonl"), "--take-over",
     ])  # fmt: skip
@@ -46,7 +46,7 @@
     async def play():
         patient = SCRIPT.replace('"2s")\ngroup', '"9s")\ngroup').replace('"300ms", body', '"3s", body')
         async with Processes(tmp_path, patient) as stage:
-            at, old = stage.address("r"), stage._processes["r"]
+            at, old = stage.router_address("r"), stage._processes["r"]
             answers, over = [], asyncio.Event()
 
             async def client(number, tokens):
@@ -99,7 +99,7 @@
             with pytest.raises(RuntimeError):
                 await successor(stage, tmp_path)
             assert "no router hands its sockets over" in (tmp_path / "next.err").read_text()
-            at = stage.address("r")
+            at = stage.router_address("r")
             assert b"[DONE]" in await send_raw(at, http(body("still", stream=True, max_tokens=4)))
 
     asyncio.run(asyncio.wait_for(play(), 60))
@@ -119,18 +119,18 @@
                 while not over.is_set():
                     number += 1
                     up = sorted(stage.routers)
-                    at = stage.address(up[number % len(up)])
+                    at = stage.router_address(up[number % len(up)])
                     sent = http(body(f"{number}", stream=True, max_tokens=4))
                     answers[number] = up[number % len(up)], await send_raw(at, sent, within=8)
                     await asyncio.sleep(0.01)
 
             async with asyncio.TaskGroup() as tasks:
                 await asyncio.sleep(1.2)  # lists are kept on the disk
-                stage._lists.close()  # the list's service is gone for whoever comes back
+                stage._list_server.close()  # the list's service is gone for whoever comes back
                 loader = tasks.create_task(load())
-                await stage.end("wr2", signal.SIGKILL)  # and the last list is wrong besides
+                await stage.stop_process("wr2", signal.SIGKILL)  # and the last list is wrong besides
                 for name in ("r0", "r1"):
-                    await stage.end(name, signal.SIGTERM)
+                    await stage.stop_process(name, signal.SIGTERM)
                     await stage.start_router(name)
                     await asyncio.sleep(0.5)
                 over.set()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -140,9 +140,11 @@
     peer.engine.kill()
     assert peer.run(0.2)[-1][:2] == ("b", Observation.CUT)
     peer.engine.start(cold=True)
-    assert not peer.engine.held and peer.engine.warmth.at(peer.clock.now) == pytest.approx(0.25, abs=0.01)
+    assert not peer.engine.held and peer.engine.warmth.capacity_fraction(peer.clock.now) == pytest.approx(
+        0.25, abs=0.01
+    )
     peer.run(5)
-    assert peer.engine.warmth.at(peer.clock.now) == 1.0
+    assert peer.engine.warmth.capacity_fraction(peer.clock.now) == 1.0
 
 
 def test_the_same_seed_is_the_same_day_whatever_the_processes():
@@ -158,9 +160,11 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_an_emulated_bad_minute_breaks_no_rule_under_the_checker_of_real_days(tmp_path, seed):
     summary = play(Variant(MINUTE), seed, str(tmp_path))
-    traffic = verify.read(tmp_path)
-    assert verify.breaches(traffic) == []
-    assert verify.service(traffic) == pytest.approx(summary["service"], abs=1e-4)  # counted twice, two ways
+    traffic = verify.read_records(tmp_path)
+    assert verify.find_breaches(traffic) == []
+    assert verify.weighted_goodput(traffic) == pytest.approx(
+        summary["service"], abs=1e-4
+    )  # counted twice, two ways
     assert summary["service"] + sum(summary["lost"].values()) == pytest.approx(1, abs=1e-3)
     assert summary["done"] > 0.9 * summary["reqs"]
 
@@ -189,7 +193,7 @@
     ]
     struck = World(fleet, 1, tmp_path).run()
     assert struck["events"] != quiet["events"] or what in ("late_list", "link_slow")
-    assert verify.breaches(verify.read(tmp_path)) == []
+    assert verify.find_breaches(verify.read_records(tmp_path)) == []
 
 
 @pytest.mark.parametrize(
@@ -219,7 +223,7 @@
 def test_the_search_finds_a_planted_defect_that_the_standard_day_misses(tmp_path):
     planted = Variant(MINUTE, doctored(tmp_path))
     play(Variant(QUIET, planted.decisions), 1, str(tmp_path / "quiet"))
-    assert verify.breaches(verify.read(tmp_path / "quiet")) == []
+    assert verify.find_breaches(verify.read_records(tmp_path / "quiet")) == []
     bounds = Bounds(most=2, length=4_000_000, longest=4_000_000)
     found = search(planted, bounds, 60, 3)
     assert isinstance(found, Found) and any("rule 2" in why for why in found.breaches)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -29,8 +29,8 @@
 from lifthead.ledger.quota import LEAST, Budget, Quota
 from lifthead.ledger.reconcile import ConflictError, Merged
 from lifthead.standins.billing import Billing
+from lifthead.standins.local_fleet import LocalFleet
 from lifthead.standins.record import lines
-from lifthead.standins.stage import Stage
 
 
 def used(number, period="2026-12", tenant="t", answer=10, **more):
@@ -482,7 +482,7 @@
 
     async def play():
         billing = Billing(tmp_path / "billing")
-        server = await asyncio.start_server(billing.connection, "127.0.0.1", 0)
+        server = await asyncio.start_server(billing.handle_connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
         found = Journal(Directory(tmp_path / "ledger"), "one")
         found.append([used(number) for number in range(4)])
@@ -534,7 +534,7 @@
 
     async def play():
         billing = Billing(tmp_path / "billing", **{kind: 0.3})
-        server = await asyncio.start_server(billing.connection, "127.0.0.1", 0)
+        server = await asyncio.start_server(billing.handle_connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
         found = Journal(Directory(tmp_path / "ledger"), "one")
         found.append([used(number) for number in range(40)])
@@ -618,19 +618,19 @@
     async def play():
         chance = random.Random(seed)
         billing = Billing(path / "billing", seed, fails=0.2, silent=0.1, slow=0.02)
-        server = await asyncio.start_server(billing.connection, "127.0.0.1", 0)
+        server = await asyncio.start_server(billing.handle_connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
         text = SCRIPT.replace('router("r", zone = "a")', '[router("r%d" % n, zone = "a") for n in range(3)]')
         text += f'ledger(wait = True, export_to = "{url}", export_every = "150ms")\n'
         file = path / "fleet.star"
         file.write_text(text)
-        stage = Stage(script.read(file), file, path, seed)
+        stage = LocalFleet(script.read(file), file, path, seed)
         seen = []
 
         async def client(number):
             said = body(f"{seed} {number}", stream=True, max_tokens=30)
             name = chance.choice(sorted(stage.routers) or ["r0"])
-            at = stage.address(name) if name in stage.routers else "127.0.0.1:1"
+            at = stage.router_address(name) if name in stage.routers else "127.0.0.1:1"
             try:
                 answer = await send_raw(at, http(said), within=8)
             except (OSError, TimeoutError):
@@ -657,11 +657,11 @@
                     await asyncio.sleep(0.012)
                     if number % 60 == 40:
                         name = chance.choice(sorted(stage.routers))
-                        await stage.end(name, signal.SIGKILL)
+                        await stage.stop_process(name, signal.SIGKILL)
                         tasks.create_task(stage.start_router(name))
-            await stage.close()
+            await stage.stop()
         finally:
-            await stage.abandon()
+            await stage.kill_all()
         for at in range(3):  # what the kills left in their ledgers goes out
             done = await asyncio.to_thread(
                 lifthead, "ledger", "export", "--dir", path / f"ledger-r{at}", "--to", url
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -247,7 +247,7 @@
 
             watched = tmp_path / "engines.star"
             put(lines("rd", "wr", "wr2", "wr3"))
-            await stage.end("r", signal.SIGKILL)
+            await stage.stop_process("r", signal.SIGKILL)
             stage.engine_file = watched
             await stage.start_router("r")
             at = address(stage)
@@ -310,7 +310,7 @@
             between = [line for line in sent if changed + 250_000 < line["t"] < changed + 1_000_000]
             assert sent and not between and confirmed > changed + 1_000_000
             os.remove(watched)
-            await stage.end("r", signal.SIGKILL)
+            await stage.stop_process("r", signal.SIGKILL)
             await stage.start_router("r")  # without the file: from the last good generation
             assert b"[DONE]" in await send_raw(address(stage), http(body(stream=True)))
             assert (await state())["file"]["generation"] == 5
@@ -345,7 +345,7 @@
                 assert all(b"[DONE]" in answer for answer in await asyncio.gather(*said))
 
             await answers(30)
-            await stage.end("r", signal.SIGKILL)
+            await stage.stop_process("r", signal.SIGKILL)
             await stage.start_router("r")
             await answers(30)
             lines_ = [
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -377,7 +377,7 @@
                 loop.fault("wr", "silent", lasts=3.0)  # and then it decodes on
             if how == "twice":
                 loop.fault("wr2", "reset", lasts=0.5, part=0.7)
-                for stream in list(loop.engines["wr2"].running)[::2]:
+                for stream in list(loop.engines["wr2"].running_streams)[::2]:
                     stream.reset_after = stream.sent + 5
             for request, answer in zip(requests, await asyncio.gather(*attempts), strict=True):
                 answer_text, last, _ = stream_content(answer)
@@ -429,12 +429,14 @@
                 "wait", model="once" if case == "non-replayable" else "m", stream=True, max_tokens=300
             )
             answer = asyncio.create_task(send_raw(loop.address, http(request), within=15))
-            await loop.until(lambda: loop.engines["wr"].running or loop.engines["wr2"].running)
+            await loop.until(
+                lambda: loop.engines["wr"].running_streams or loop.engines["wr2"].running_streams
+            )
             for name in ("wr", "wr2"):
                 if "draining" in case:
                     loop.fault(name, "slow", lasts=1.0, times=8.0)
                 else:
-                    loop.fault(name, "silent", lasts=1.0 if loop.engines[name].running else 0.0)
+                    loop.fault(name, "silent", lasts=1.0 if loop.engines[name].running_streams else 0.0)
             if "draining" in case:
                 drains_by = time.time_ns() // 1000 + 200_000
                 loop.daemon.host.on_engine_list(
@@ -487,7 +489,7 @@
                 asyncio.create_task(send_raw(loop.address, http(request), within=25)) for request in requests
             ]
             await asyncio.sleep(0.6)
-            assert loop.engines["wr"].running
+            assert loop.engines["wr"].running_streams
             drains_by = time.time_ns() // 1000 + 500_000
             loop.daemon.host.on_engine_list(
                 ListUpdate(
@@ -505,7 +507,7 @@
                     ],
                 )
             )
-            await loop.until(lambda: not loop.engines["wr"].running, 1.0)
+            await loop.until(lambda: not loop.engines["wr"].running_streams, 1.0)
             for name in ("wr", "wr2"):
                 loop.engines[name].faults.clear()
             for request, answer in zip(requests, await asyncio.gather(*attempts), strict=True):
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -213,7 +213,7 @@
                     await asyncio.sleep(0.05)
 
             words = ["-m", "lifthead.cli", "roll", "kind:writer", "--restart", command, "--floor", "0.4"]
-            at, answers = stage.address("r"), []
+            at, answers = stage.router_address("r"), []
 
             async def load():
                 for number in range(400):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -220,13 +220,13 @@
     for name, lines in found.items():
         lines = sorted(lines, key=lambda line: line["t"]) if name != "facts" else lines
         (tmp_path / f"{name}.jsonl").write_text("".join(json.dumps(line) + "\n" for line in lines))
-    return {breach.rule for breach in verify.breaches(verify.read(tmp_path))}
+    return {breach.rule for breach in verify.find_breaches(verify.read_records(tmp_path))}
 
 
 @pytest.mark.parametrize("group", ["chat", "pay", "mark"])
 def test_a_clean_day_has_no_breach(tmp_path, group):
     assert play(tmp_path, day(group)) == set()
-    summary = verify.summary(tmp_path)
+    summary = verify.summarize(tmp_path)
     assert summary["service"] == 1.0 and summary["done"] == 1 and summary["breaches"] == {}
 
 
@@ -317,4 +317,4 @@
     play(tmp_path, day())
     with open(tmp_path / "engine-wr.jsonl", "a") as file:
         file.write('{"t": 5, "ev": "for')
-    assert verify.breaches(verify.read(tmp_path)) == []
+    assert verify.find_breaches(verify.read_records(tmp_path)) == []
