--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -378,7 +378,7 @@
             if how == "twice":
                 loop.fault("wr2", "reset", lasts=0.5, part=0.7)
                 for stream in list(loop.engines["wr2"].running_streams)[::2]:
-                    stream.reset_after = stream.sent + 5
+                    stream.reset_after = stream.sent_tokens + 5
             for request, answer in zip(requests, await asyncio.gather(*attempts), strict=True):
                 answer_text, last, _ = stream_content(answer)
                 assert last == b"[DONE]" and answer_text == expected(request)
