--- a/lifthead/standins/load_generator.py
+++ b/lifthead/standins/load_generator.py
@@ -1,5 +1,9 @@
-"""A crowd of clients: sessions that grow, shared beginnings, tenants, retries, impatience, slow readers, and
-clients that leave. Arrivals do not wait for answers. Each try and what came back go to the record."""
+"""A load generator: it simulates clients of several tenants that hold sessions with a router.
+
+Each turn of a session sends the whole conversation so far, and many sessions begin with a shared prefix. Some
+clients retry, are impatient, read slowly or leave. The load is open-loop: arrivals do not wait for answers.
+Each request and what came back go to the traffic record.
+"""
 
 import asyncio
 import json
@@ -14,22 +18,22 @@
 from lifthead.standins.text import answer, filler
 from lifthead.standins.wire import ClientConnection
 
-MAX_PROMPT_TOKENS = 24_000  # tokens, where a trouble makes prompts longer
+MAX_PROMPT_TOKENS = 24_000  # limit on the prompts that the fault `long_prompts` makes longer
 
 
 @dataclass(slots=True)
 class LoadChange:
-    """What a trouble changes in the crowd while it lasts."""
+    """What a fault changes in the load while it lasts."""
 
-    rate: float = 1.0
-    tenant: str = ""  # floods
-    tenant_rate: float = 0.0  # reqs a second besides
-    beginning: str = ""  # hot
-    beginning_part: float = 0.0
-    long_group: str = ""
-    long_part: float = 0.0
-    long_times: float = 1.0
-    impatient: str = ""  # a tenant whose clients give up early and come again at once
+    rate_factor: float = 1.0
+    flooding_tenant: str = ""
+    flood_rate: float = 0.0  # turns a second, on top of the load
+    hot_prefix: str = ""  # a prefix that many new sessions share
+    hot_prefix_share: float = 0.0
+    long_class: str = ""
+    long_share: float = 0.0
+    long_factor: float = 1.0
+    impatient_tenant: str = ""  # its clients give up early and retry at once
 
 
 @dataclass(slots=True)
@@ -37,145 +41,159 @@
     mix: RequestMix
     tenant: str
     name: str
-    router: int
+    first_router: int
     messages: list[dict] = field(default_factory=list)
-    left: int = 0
+    turns_left: int = 0
 
 
 class LoadGenerator:
-    """Plays one crowd against routers that `addresses` gives, in turn, passing over those that refuse."""
+    """Generates a load for the routers that `addresses` returns.
+
+    A client that cannot connect to its router tries the next one.
+    """
 
     def __init__(
-        self, fleet: Fleet, crowd: ClientLoad, seed: int, record: Record, addresses: Callable[[], list[str]]
+        self, fleet: Fleet, load: ClientLoad, seed: int, record: Record, addresses: Callable[[], list[str]]
     ) -> None:
-        self.fleet, self.crowd, self.record, self.addresses = fleet, crowd, record, addresses
-        self.chance = random.Random(seed)
-        self.trends: list[LoadChange] = []
+        self.fleet, self.load, self.record, self.addresses = fleet, load, record, addresses
+        self.rng = random.Random(seed)
+        self.changes: list[LoadChange] = []
         self.sessions: list[Session] = []
-        self.asked = self._begun = 0
-        self._beginnings = {
-            mix.group: [filler(self.chance, mix.beginning_tokens) for _ in range(mix.beginnings)]
-            for mix in crowd.mix
+        self.turn_count = self._session_count = 0
+        self._shared_prefixes = {
+            mix.group: [filler(self.rng, mix.beginning_tokens) for _ in range(mix.beginnings)]
+            for mix in load.mix
         }
         self._models = {group.name: group.models[0] for group in fleet.groups.values()}
 
     async def run(self) -> None:
-        """All arrivals, then the ends of all tries."""
-        until = now() + self.crowd.length
+        """Starts turns until the load's length is over and waits until all have ended."""
+        ends_at = now() + self.load.length
         async with asyncio.TaskGroup() as tasks:
             due = now()
-            while due < until:
-                rate, flood = self.crowd.per_s, 0.0
-                for trend in self.trends:
-                    rate, flood = rate * trend.rate, flood + trend.tenant_rate
-                due += round(self.chance.expovariate(rate + flood) * 1e6)
+            while due < ends_at:
+                rate, flood = self.load.per_s, 0.0
+                for change in self.changes:
+                    rate, flood = rate * change.rate_factor, flood + change.flood_rate
+                due += round(self.rng.expovariate(rate + flood) * 1e6)
                 await asyncio.sleep(max(due - now(), 0) / 1e6)
-                flooding = next((t.tenant for t in self.trends if t.tenant_rate), "")
-                by_flood = flooding if flooding and self.chance.random() < flood / (rate + flood) else ""
-                tasks.create_task(self._turn(self._session(by_flood)))
+                flooding_tenant = next(
+                    (change.flooding_tenant for change in self.changes if change.flood_rate), ""
+                )
+                tenant = (
+                    flooding_tenant if flooding_tenant and self.rng.random() < flood / (rate + flood) else ""
+                )
+                tasks.create_task(self._play_turn(self._next_session(tenant)))
 
-    def _session(self, tenant: str) -> Session:
-        """One that goes on, or a new one."""
-        going = [
+    def _next_session(self, tenant: str) -> Session:
+        """An ongoing session, or a new one. A tenant restricts the choice to its own."""
+        ongoing = [
             session
             for session in self.sessions
-            if session.left > 0 and (not tenant or session.tenant == tenant)
+            if session.turns_left > 0 and (not tenant or session.tenant == tenant)
         ]
-        if going and self.chance.random() < 0.5:
-            session = self.chance.choice(going)
-            session.left -= 1
+        if ongoing and self.rng.random() < 0.5:
+            session = self.rng.choice(ongoing)
+            session.turns_left -= 1
             self.sessions.remove(session)
             return session
-        mix = self.chance.choices(self.crowd.mix, [mix.share for mix in self.crowd.mix])[0]
+        mix = self.rng.choices(self.load.mix, [mix.share for mix in self.load.mix])[0]
         tenants = list(self.fleet.tenants)
-        parts = [self.crowd.usage.get(name, self.fleet.tenants[name].share_per_s) for name in tenants]
-        self._begun += 1
-        whose = tenant or self.chance.choices(tenants, parts)[0]
-        session = Session(mix, whose, f"s{self._begun}", self.chance.randrange(1 << 16))
-        hot = next((trend for trend in self.trends if trend.beginning), None)
-        if hot and self.chance.random() < hot.beginning_part:
-            session.messages.append({"role": "system", "content": hot.beginning})
-        elif mix.beginning_tokens and self.chance.random() < mix.beginning_share:
+        weights = [self.load.usage.get(name, self.fleet.tenants[name].share_per_s) for name in tenants]
+        self._session_count += 1
+        chosen = tenant or self.rng.choices(tenants, weights)[0]
+        session = Session(mix, chosen, f"s{self._session_count}", self.rng.randrange(1 << 16))
+        hot = next((change for change in self.changes if change.hot_prefix), None)
+        if hot and self.rng.random() < hot.hot_prefix_share:
+            session.messages.append({"role": "system", "content": hot.hot_prefix})
+        elif mix.beginning_tokens and self.rng.random() < mix.beginning_share:
             session.messages.append(
-                {"role": "system", "content": self.chance.choice(self._beginnings[mix.group])}
+                {"role": "system", "content": self.rng.choice(self._shared_prefixes[mix.group])}
             )
-        session.left = self.chance.randint(0, 2 * (mix.turns - 1))
+        session.turns_left = self.rng.randint(0, 2 * (mix.turns - 1))
         return session
 
-    async def _turn(self, session: Session) -> None:
-        """One req of a session, with its retries."""
-        mix, chance = session.mix, self.chance
-        tokens = max(round(chance.lognormvariate(0, 0.6) * mix.new_tokens), 8)
-        long = next((t for t in self.trends if t.long_part and t.long_group in ("", mix.group)), None)
-        if long and chance.random() < long.long_part:
-            tokens = min(round(tokens * long.long_times), MAX_PROMPT_TOKENS)
-        session.messages.append({"role": "user", "content": filler(chance, tokens)})
-        group, self.asked = self.fleet.groups[mix.group], self.asked + 1
-        name, began = f"c{self.asked}", now()
-        impatient = any(trend.impatient == session.tenant for trend in self.trends)
-        leaves = chance.random() < self.crowd.leaves
-        streamed, slow = chance.random() >= self.crowd.unstreamed, chance.random() < self.crowd.slow
+    async def _play_turn(self, session: Session) -> None:
+        """One turn of a session, with its retries."""
+        mix, rng = session.mix, self.rng
+        tokens = max(round(rng.lognormvariate(0, 0.6) * mix.new_tokens), 8)
+        long = next(
+            (change for change in self.changes if change.long_share and change.long_class in ("", mix.group)),
+            None,
+        )
+        if long and rng.random() < long.long_share:
+            tokens = min(round(tokens * long.long_factor), MAX_PROMPT_TOKENS)
+        session.messages.append({"role": "user", "content": filler(rng, tokens)})
+        request_class, self.turn_count = self.fleet.groups[mix.group], self.turn_count + 1
+        turn_id, began_at = f"c{self.turn_count}", now()
+        impatient = any(change.impatient_tenant == session.tenant for change in self.changes)
+        leaves = rng.random() < self.load.leaves
+        streamed, slow = rng.random() >= self.load.unstreamed, rng.random() < self.load.slow
         body = {
             "model": self._models[mix.group],
             "messages": session.messages,
             "stream": streamed,
             "max_tokens": mix.max_tokens,
         }
-        prompt = sum(len(message["content"]) // 4 + 4 for message in session.messages)
+        prompt_tokens = sum(len(message["content"]) // 4 + 4 for message in session.messages)
         self.record.put(
             "want",
-            id=name,
+            id=turn_id,
             group=mix.group,
             tenant=session.tenant,
-            importance=group.importance,
-            prompt=prompt,
-            target=group.target + group.target_per_1000 * prompt // 1000,
-            late_share=group.late_share,
+            importance=request_class.importance,
+            prompt=prompt_tokens,
+            target=request_class.target + request_class.target_per_1000 * prompt_tokens // 1000,
+            late_share=request_class.late_share,
         )
         expected = "".join(answer(session.messages, mix.max_tokens))
-        for number in range(1 + (12 if impatient else self.crowd.retries)):
-            left_us = began + group.deadline - now()
+        for retry in range(1 + (12 if impatient else self.load.retries)):
+            left_us = began_at + request_class.deadline - now()
             if left_us < 50_000:
                 return
-            budget = min(round(group.target * chance.uniform(0.25, 0.5)), left_us) if impatient else left_us
-            leaving = chance.uniform(0.01, 1.5) if leaves else 0.0
-            how, wait = await self._try(
-                f"{name}.{number}",
-                name,
+            budget = (
+                min(round(request_class.target * rng.uniform(0.25, 0.5)), left_us) if impatient else left_us
+            )
+            leaves_after = rng.uniform(0.01, 1.5) if leaves else 0.0
+            outcome, retry_after = await self._send_request(
+                f"{turn_id}.{retry}",
+                turn_id,
                 session,
                 json.dumps(body).encode(),
                 budget,
                 streamed,
                 expected,
                 slow,
-                leaving,
+                leaves_after,
             )
-            if how == "done":
+            if outcome == "done":
                 session.messages.append({"role": "assistant", "content": expected})
                 self.sessions.append(session)
                 return
-            again = how in ("pushed back", "unreachable", "not taken") or group.effect == "replayable"
-            if how == "left" or not again:
+            may_retry = (
+                outcome in ("pushed back", "unreachable", "not taken") or request_class.effect == "replayable"
+            )
+            if outcome == "left" or not may_retry:
                 return
-            await asyncio.sleep(0 if impatient else wait * chance.uniform(1.0, 1.5))
+            await asyncio.sleep(0 if impatient else retry_after * rng.uniform(1.0, 1.5))
 
-    async def _try(
+    async def _send_request(
         self,
-        name: str,
-        first: str,
+        request_id: str,
+        turn_id: str,
         session: Session,
         body: bytes,
         budget: int,
         streamed: bool,
         expected: str,
         slow: bool,
-        leaving: float,
+        leaves_after: float,
     ) -> tuple[str, float]:
-        """One try: how it ended, and seconds to wait before another."""
-        client, asked_at = None, now()
+        """Sends one request. Returns its outcome and the seconds to wait before a retry."""
+        client, sent_at = None, now()
         addresses = self.addresses()
-        for turn in range(len(addresses)):
-            address = addresses[(session.router + turn) % len(addresses)]
+        for offset in range(len(addresses)):
+            address = addresses[(session.first_router + offset) % len(addresses)]
             try:
                 client = await ClientConnection.connect(address)
                 break
@@ -187,91 +205,93 @@
         headers = {
             "authorization": f"Bearer {key}",
             "content-type": "application/json",
-            "x-client-request-id": name,
+            "x-client-request-id": request_id,
             "x-session-id": session.name,
             "x-req-budget-ms": str(budget / 1000),
-            "idempotency-key": first,
+            "idempotency-key": turn_id,
             "connection": "close",
         }
         self.record.put(
             "ask",
-            at=asked_at,
-            id=name,
-            want=first,
+            at=sent_at,
+            id=request_id,
+            want=turn_id,
             group=session.mix.group,
             router=address,
             budget=budget,
             streamed=streamed,
         )
-        seen = {"first": 0, "status": 0, "retry_ms": 0, "gap": 0, "last": 0, "tokens": 0}
-        how = "broken"
+        observed = {"first": 0, "status": 0, "retry_ms": 0, "gap": 0, "last": 0, "tokens": 0}
+        outcome = "broken"
         try:
-            async with asyncio.timeout(leaving or None):
+            async with asyncio.timeout(leaves_after or None):
                 client.send_request("POST", "/v1/chat/completions", body, headers)
-                how = await (self._streamed if streamed else self._whole)(client, seen, expected, slow)
+                outcome = await (self._read_stream if streamed else self._read_answer)(
+                    client, observed, expected, slow
+                )
         except TimeoutError:
-            how = "left"
+            outcome = "left"
         except (OSError, h11.ProtocolError, json.JSONDecodeError):
-            how = "broken"
+            outcome = "broken"
         finally:
             client.close()
-        first_us = seen["first"] - asked_at if seen["first"] else 0
+        time_to_first_token = observed["first"] - sent_at if observed["first"] else 0
         self.record.put(
             "answer",
-            id=name,
-            want=first,
-            how=how,
-            status=seen["status"],
-            first=first_us,
-            gap=seen["gap"],
-            tokens=seen["tokens"],
+            id=request_id,
+            want=turn_id,
+            how=outcome,
+            status=observed["status"],
+            first=time_to_first_token,
+            gap=observed["gap"],
+            tokens=observed["tokens"],
             req=client.headers.get("x-request-id", ""),
             router=address,
         )
-        return how, max(seen["retry_ms"] / 1000, 0.02)
+        return outcome, max(observed["retry_ms"] / 1000, 0.02)
 
-    async def _refused(self, client: ClientConnection, seen: dict) -> str:
-        seen["retry_ms"] = int(client.headers.get("retry-after-ms", "100"))
+    async def _read_error(self, client: ClientConnection, observed: dict) -> str:
+        observed["retry_ms"] = int(client.headers.get("retry-after-ms", "100"))
         body = json.loads(await client.read_body())
         if body["error"]["code"] == "not_ready":
             return "not taken"
         return "pushed back" if client.status in (429, 503) else "aborted"
 
-    async def _whole(self, client: ClientConnection, seen: dict, expected: str, slow: bool) -> str:
-        seen["status"] = await client.read_status()
+    async def _read_answer(self, client: ClientConnection, observed: dict, expected: str, slow: bool) -> str:
+        observed["status"] = await client.read_status()
         if client.status != 200:
-            return await self._refused(client, seen)
+            return await self._read_error(client, observed)
         body = json.loads(await client.read_body())
-        seen["first"], seen["tokens"] = now(), body["usage"]["completion_tokens"]
+        observed["first"], observed["tokens"] = now(), body["usage"]["completion_tokens"]
         return "done" if body["choices"][0]["message"]["content"] == expected else "wrong"
 
-    async def _streamed(self, client: ClientConnection, seen: dict, expected: str, slow: bool) -> str:
-        seen["status"] = await client.read_status()
+    async def _read_stream(self, client: ClientConnection, observed: dict, expected: str, slow: bool) -> str:
+        observed["status"] = await client.read_status()
         if client.status != 200:
-            return await self._refused(client, seen)
-        left, text, end = b"", [], ""
+            return await self._read_error(client, observed)
+        rest, pieces, outcome = b"", [], ""
         while data := await client.read_data():
-            *events, left = (left + data).split(b"\n\n")
-            for event in events:
-                said = event.partition(b"data: ")[2]
-                if end:
-                    return "extra"  # something came after the final answer
-                if said == b"[DONE]":
-                    end = "done"
+            *events, rest = (rest + data).split(b"\n\n")
+            for raw_event in events:
+                data_line = raw_event.partition(b"data: ")[2]
+                if outcome:
+                    return "extra"  # an event after the final answer
+                if data_line == b"[DONE]":
+                    outcome = "done"
                     continue
-                part = json.loads(said)
-                if "error" in part:
-                    end = "aborted"
+                event = json.loads(data_line)
+                if "error" in event:
+                    outcome = "aborted"
                     continue
-                for choice in part["choices"]:
+                for choice in event["choices"]:
                     if choice["delta"].get("content"):
                         at = now()
-                        seen["gap"] = max(seen["gap"], at - (seen["last"] or at))
-                        seen["first"], seen["last"] = seen["first"] or at, at
-                        text.append(choice["delta"]["content"])
-                        seen["tokens"] += 1
+                        observed["gap"] = max(observed["gap"], at - (observed["last"] or at))
+                        observed["first"], observed["last"] = observed["first"] or at, at
+                        pieces.append(choice["delta"]["content"])
+                        observed["tokens"] += 1
             if slow:
                 await asyncio.sleep(0.05)
-        if not end:
-            return "cut"  # a silent end
-        return "wrong" if end == "done" and "".join(text) != expected else end
+        if not outcome:
+            return "cut"  # the stream ended without a final answer
+        return "wrong" if outcome == "done" and "".join(pieces) != expected else outcome
