--- a/lifthead/standins/local_fleet.py
+++ b/lifthead/standins/local_fleet.py
@@ -1,5 +1,7 @@
-"""Sets up a fleet's processes on loopback: the pushed list, stand-in engines, routers. Ports come from the
-system; processes are ended by their own ids only."""
+"""Runs the processes of a test fleet on loopback: the list service, stand-in engines and routers.
+
+The system chooses the ports. Processes are signalled by their own process IDs only.
+"""
 
 import asyncio
 import contextlib
@@ -17,25 +19,29 @@
 from lifthead.standins.listing import ListService
 from lifthead.standins.record import Record
 
-START_WITHIN = 60.0
+START_TIMEOUT_S = 60.0
 
 
 class LocalFleet:
-    """One fleet's processes, from `start` to `close`. `serve` is a router's command, to which its options are
-    added; another one can be given to measure something else on the same stage."""
+    """One fleet's processes, from `start` to `stop`.
+
+    `serve` is the command of a router, to which its options are added. A benchmark may give another command
+    to measure another program in the same fleet.
+    """
 
     def __init__(self, fleet: Fleet, script: Path, out: Path, seed: int, serve: Sequence[str] = ()) -> None:
         self.fleet, self.script, self.out, self.seed = fleet, script, out, seed
         self.record = Record(out / "stage.jsonl")
         self.list_service = ListService(Record(out / "list.jsonl"))
-        self.routers: dict[str, dict[str, Any]] = {}  # what each said of itself; left out while it is down
+        # By name, the line that the process printed at its start. A router that is down is absent.
+        self.routers: dict[str, dict[str, Any]] = {}
         self.engines: dict[str, dict[str, Any]] = {}
         self._router_command = list(serve) or [sys.executable, "-m", "lifthead.cli", "serve"]
         self._processes: dict[str, asyncio.subprocess.Process] = {}
         self._list_server: asyncio.Server | None = None
         self.list_url = ""
-        self.engine_file: Path | None = None  # routers that start go by this file, not by the pushed list
-        self._starts = 0
+        self.engine_file: Path | None = None  # routers that start read this file instead of the pushed list
+        self._start_count = 0
 
     async def start(self) -> None:
         self._list_server = await asyncio.start_server(self.list_service.handle_connection, "127.0.0.1", 0)
@@ -44,26 +50,26 @@
         await asyncio.gather(*(self.start_router(name) for name in self.fleet.routers))
 
     async def _start_process(self, name: str, command: Sequence[str]) -> dict[str, Any]:
-        """Starts a process and returns the line in which it says that it is ready."""
-        errors = open(self.out / f"{name}.err", "ab")  # noqa: SIM115 - closed below, the child keeps its own
+        """Starts a process and returns the line that it prints when it is ready."""
+        errors = open(self.out / f"{name}.err", "ab")  # noqa: SIM115 - closed below, the child has its own copy
         process = await asyncio.create_subprocess_exec(
             *command, stdout=asyncio.subprocess.PIPE, stderr=errors, stdin=asyncio.subprocess.DEVNULL
         )
         errors.close()
         self._processes[name] = process
         assert process.stdout
-        async with asyncio.timeout(START_WITHIN):
+        async with asyncio.timeout(START_TIMEOUT_S):
             line = await process.stdout.readline()
         if not line:
             raise RuntimeError(f"{name} did not start: see {self.out / name}.err")
         return msgspec.json.decode(line)
 
     async def start_engine(self, name: str, cold: bool) -> None:
-        """Starts an engine, at its old address if it had one, and has the list say so."""
+        """Starts an engine, at its old address if it had one, and lists it as ready."""
         spec = self.fleet.engines[name]
         address = self.engines[name]["address"] if name in self.engines else spec.address
-        self._starts += 1
-        said = await self._start_process(
+        self._start_count += 1
+        ready_line = await self._start_process(
             name,
             [
                 sys.executable,
@@ -77,16 +83,16 @@
                 "--record",
                 str(self.out / f"engine-{name}.jsonl"),
                 "--seed",
-                str(self.seed * 1000 + self._starts),
+                str(self.seed * 1000 + self._start_count),
                 *(["--cold"] if cold else []),
             ],
         )
-        self.engines[name] = said
-        await self.list_service.change(self._entry(name, "ready", time.time_ns() // 1000 if cold else 0))
+        self.engines[name] = ready_line
+        await self.list_service.change(self._list_entry(name, "ready", time.time_ns() // 1000 if cold else 0))
 
-    def _entry(self, name: str, readiness: str, started_at: int | None = None) -> dict[str, Any]:
+    def _list_entry(self, name: str, readiness: str, started_at: int | None = None) -> dict[str, Any]:
         spec = self.fleet.engines[name]
-        known = self.list_service.entries.get(name, {})
+        listed = self.list_service.entries.get(name, {})
         return {
             "name": name,
             "address": self.engines[name]["address"],
@@ -95,30 +101,41 @@
             "kind": spec.kind,
             "weight": spec.weight,
             "readiness": readiness,
-            "started_at": known.get("started_at", 0) if started_at is None else started_at,
+            "started_at": listed.get("started_at", 0) if started_at is None else started_at,
         }
 
     async def publish_readiness(self, readiness: str, *names: str, limit: int = 0) -> None:
-        """The list's news of engines: `ready`, `draining` (within `limit` microseconds, if any) or `gone`."""
-        by = time.time_ns() // 1000 + limit if limit else 0
-        await self.list_service.change(*(self._entry(name, readiness) | {"drains_by": by} for name in names))
+        """Lists engines as `ready`, `draining` or `gone`.
+
+        `limit` is the time in microseconds until a drain's deadline, 0 for none.
+        """
+        drains_by = time.time_ns() // 1000 + limit if limit else 0
+        await self.list_service.change(
+            *(self._list_entry(name, readiness) | {"drains_by": drains_by} for name in names)
+        )
 
     def router_address(self, router: str) -> str:
-        """Where a running router listens."""
+        """The address at which a running router listens for clients."""
         return self.routers[router]["base_url"].split("/")[2]
 
     async def inject_fault(
-        self, name: str, what: str, lasts: int, part: float, times: float, group: str
+        self, name: str, kind: str, duration: int, probability: float, factor: float, request_class: str
     ) -> None:
-        said = msgspec.json.encode(
-            {"what": what, "lasts": int(lasts), "part": part, "times": times, "group": group}
+        body = msgspec.json.encode(
+            {
+                "what": kind,
+                "lasts": int(duration),
+                "part": probability,
+                "times": factor,
+                "group": request_class,
+            }
         )
         with contextlib.suppress(OSError, TimeoutError):
-            await wire.call(self.engines[name]["address"], "POST", "/standin/fault", said)
+            await wire.call(self.engines[name]["address"], "POST", "/standin/fault", body)
 
     async def start_router(self, name: str) -> None:
         source = ["--engines", str(self.engine_file)] if self.engine_file else ["--list", self.list_url]
-        said = await self._start_process(
+        ready_line = await self._start_process(
             name,
             [
                 *self._router_command,
@@ -131,42 +148,44 @@
                 "--log",
                 str(self.out / f"log-{name}.jsonl"),
                 "--seed",
-                str(self.seed * 1000 + self._starts + 1),
+                str(self.seed * 1000 + self._start_count + 1),
             ],
         )
-        self._starts += 1
-        self.record.put("router_up", name=name, address=said["base_url"].split("/")[2])
-        await self._ready(said["health"])
-        self.routers[name] = said
+        self._start_count += 1
+        self.record.put("router_up", name=name, address=ready_line["base_url"].split("/")[2])
+        await self._wait_until_ready(ready_line["health"])
+        self.routers[name] = ready_line
 
-    async def _ready(self, address: str) -> None:
+    async def _wait_until_ready(self, address: str) -> None:
         for _ in range(600):
             with contextlib.suppress(OSError, TimeoutError):
                 if (await wire.call(address, "GET", "/ready"))[0] == 200:
                     return
             await asyncio.sleep(0.05)
-        raise RuntimeError(f"the router at {address} did not get ready")
+        raise RuntimeError(f"the router at {address} did not become ready")
 
-    async def stop_process(self, name: str, how: signal.Signals) -> int:
-        """Signals a process and waits for its exit; returns its exit code."""
+    async def stop_process(self, name: str, signal_number: signal.Signals) -> int:
+        """Signals a process, waits for its exit and returns its exit code."""
         process = self._processes.pop(name)
         if name in self.routers:
             address = self.router_address(name)
             del self.routers[name]
             self.record.put(
-                "router_killed" if how is signal.SIGKILL else "router_stop", name=name, address=address
+                "router_killed" if signal_number is signal.SIGKILL else "router_stop",
+                name=name,
+                address=address,
             )
         else:
-            self.record.put("engine_end", name=name, how=how.name)
+            self.record.put("engine_end", name=name, how=signal_number.name)
         if process.returncode is None:
-            process.send_signal(how)
-        code = await process.wait()
-        self.record.put("exited", name=name, code=code)
-        return code
-
-    async def restart(self, question: dict[str, Any]) -> dict[str, Any]:
-        """Stops an engine or a router and starts it again, an engine cold; what it had is lost."""
-        name = str(question.get("name"))
+            process.send_signal(signal_number)
+        exit_code = await process.wait()
+        self.record.put("exited", name=name, code=exit_code)
+        return exit_code
+
+    async def restart(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Restarts an engine, cold, or a router. Its state is lost."""
+        name = str(command.get("name"))
         if name not in self._processes:
             return {"error": f"expected one of {sorted(self._processes)}, got {name!r}"}
         await self.stop_process(name, signal.SIGTERM)
@@ -174,32 +193,37 @@
         return {}
 
     async def stop(self) -> dict[str, int]:
-        """Stops the routers, then the engines; exit codes by name."""
-        codes = {}
+        """Stops the routers, then the engines. Returns exit codes by name."""
+        exit_codes = {}
         for names in (list(self.routers), [name for name in self._processes if name not in self.routers]):
-            for name, code in zip(
+            for name, exit_code in zip(
                 names,
                 await asyncio.gather(*(self.stop_process(name, signal.SIGTERM) for name in names)),
                 strict=True,
             ):
-                codes[name] = code
+                exit_codes[name] = exit_code
         if self._list_server:
             self._list_server.close()
-        return codes
+        return exit_codes
 
     async def kill_all(self) -> None:
-        """Ends whatever still runs."""
+        """Kills all processes that still run."""
         for name in list(self._processes):
             await self.stop_process(name, signal.SIGKILL)
 
     def describe(self) -> dict[str, Any]:
-        """What `lifthead up --json` prints."""
+        """The line that `lifthead up --json` prints."""
         return {
             "routers": [
-                {"name": name, "base_url": said["base_url"], "admin": said["admin"], "pid": said["pid"]}
-                for name, said in self.routers.items()
+                {
+                    "name": name,
+                    "base_url": ready_line["base_url"],
+                    "admin": ready_line["admin"],
+                    "pid": ready_line["pid"],
+                }
+                for name, ready_line in self.routers.items()
             ],
             "models": [model for group in self.fleet.groups.values() for model in group.models],
             "api_keys": {tenant.name: tenant.keys[0] for tenant in self.fleet.tenants.values()},
-            "engines": [dict(said) for said in self.engines.values()],
+            "engines": [dict(ready_line) for ready_line in self.engines.values()],
         }
