--- a/lifthead/standins/day.py
+++ b/lifthead/standins/day.py
@@ -77,7 +77,7 @@
             await asyncio.sleep(fault.lasts / 1e6)
             await self.test_fleet.publish_readiness("ready", *engines)
         elif fault.what == "late_list":
-            self.test_fleet.list_service.late = fault.lasts / 1e6
+            self.test_fleet.list_service.delay = fault.lasts / 1e6
         elif fault.what == "roll":
             await self._roll_fleet(engines, fault)
         elif fault.what == "naive_roll":
--- a/lifthead/standins/listing.py
+++ b/lifthead/standins/listing.py
@@ -1,4 +1,7 @@
-"""A stand-in for the service that pushes the list of engines: late on demand; it records what it told."""
+"""A stand-in for the service that pushes the list of engines to routers.
+
+It can be made late, and it records what it tells each router.
+"""
 
 import asyncio
 import json
@@ -9,59 +12,63 @@
 
 
 @dataclass(slots=True, eq=False)
-class Follower:
+class Subscription:
     router: str
-    server: ServerConnection
+    connection: ServerConnection
     queue: asyncio.Queue = field(default_factory=asyncio.Queue)
 
 
 class ListService:
     def __init__(self, record: Record) -> None:
         self.entries: dict[str, dict] = {}
-        self.late = 0.0  # seconds by which changes come late
+        self.delay = 0.0  # seconds by which changes are delayed
         self._record = record
-        self._followers: set[Follower] = set()
+        self._subscriptions: set[Subscription] = set()
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        server = ServerConnection(reader, writer)
-        asked = await server.read_request()
-        if asked is None or asked.path != "/v1/engines":
+        connection = ServerConnection(reader, writer)
+        request = await connection.read_request()
+        if request is None or request.path != "/v1/engines":
             writer.close()
             return
-        follower = Follower(asked.headers.get("x-router", ""), server)
-        server.start_response(200, {"content-type": "application/x-ndjson", "transfer-encoding": "chunked"})
-        follower.queue.put_nowait((True, [dict(entry) for entry in self.entries.values()]))
-        self._followers.add(follower)
+        subscription = Subscription(request.headers.get("x-router", ""), connection)
+        connection.start_response(
+            200, {"content-type": "application/x-ndjson", "transfer-encoding": "chunked"}
+        )
+        subscription.queue.put_nowait((True, [dict(entry) for entry in self.entries.values()]))
+        self._subscriptions.add(subscription)
         try:
             async with asyncio.TaskGroup() as tasks:
-                push = tasks.create_task(self._push(follower))
-                await server.wait_for_close(asked)
+                push = tasks.create_task(self._push(subscription))
+                await connection.wait_for_close(request)
                 push.cancel()
         finally:
-            self._followers.discard(follower)
+            self._subscriptions.discard(subscription)
             writer.close()
 
-    async def _push(self, follower: Follower) -> None:
+    async def _push(self, subscription: Subscription) -> None:
         while True:
-            whole, entries = await follower.queue.get()
-            follower.server.send_data(json.dumps({"whole": whole, "engines": entries}).encode() + b"\n")
+            whole, entries = await subscription.queue.get()
+            subscription.connection.send_data(
+                json.dumps({"whole": whole, "engines": entries}).encode() + b"\n"
+            )
             for entry in entries:
                 self._record.put(
                     "told",
-                    router=follower.router,
+                    router=subscription.router,
                     engine=entry["name"],
                     readiness=entry["readiness"],
                     started_at=entry["started_at"],
                 )
             if whole:
                 self._record.put(
-                    "told_whole", router=follower.router, engines=[entry["name"] for entry in entries]
+                    "told_whole", router=subscription.router, engines=[entry["name"] for entry in entries]
                 )
 
     async def change(self, *entries: dict) -> None:
-        """Changes reach the routers after what the list is late by."""
-        await asyncio.sleep(self.late)
+        """Changes entries and pushes them to all routers, after `delay`."""
+        await asyncio.sleep(self.delay)
         for entry in entries:
             self.entries[entry["name"]] = entry
-        for follower in self._followers:
-            follower.queue.put_nowait((False, [dict(entry) for entry in entries]))
+        for subscription in self._subscriptions:
+            subscription.queue.put_nowait((False, [dict(entry) for entry in entries]))
--- a/lifthead/standins/record.py
+++ b/lifthead/standins/record.py
@@ -1,4 +1,4 @@
-"""Traffic records: JSON lines with monotonic microseconds, written at once so that a kill loses none."""
+"""Traffic records: JSON lines with monotonic microseconds, unbuffered, so that a kill loses none."""
 
 import time
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 from lifthead.deployment.fleet import Fleet
 
-_encode = msgspec.json.Encoder(enc_hook=int).encode  # lengths of time are whole numbers
+_encode = msgspec.json.Encoder(enc_hook=int).encode  # writes `Microseconds` as plain integers
 
 
 def now() -> int:
@@ -16,19 +16,22 @@
 
 
 def checker_settings(fleet: Fleet) -> dict[str, Any]:
-    """What a day's records say of its rules, for the checker."""
-    rules = ("drain_grace", "let_go_within", "cold_share", "warm_within", "tip_multiple", "overload_for")
-    group = ("effect", "keyed_within", "keyed_for")
-    return {key: getattr(fleet.rules, key) for key in rules} | {
-        "groups": {each.name: {key: getattr(each, key) for key in group} for each in fleet.groups.values()}
+    """The settings that the checker of the rules needs."""
+    rule_keys = ("drain_grace", "let_go_within", "cold_share", "warm_within", "tip_multiple", "overload_for")
+    class_keys = ("effect", "keyed_within", "keyed_for")
+    return {key: getattr(fleet.rules, key) for key in rule_keys} | {
+        "groups": {
+            request_class.name: {key: getattr(request_class, key) for key in class_keys}
+            for request_class in fleet.groups.values()
+        }
     }
 
 
 class Record:
-    """One stand-in's record. Without a path it keeps nothing."""
+    """One stand-in's traffic record. Without a path it writes nothing."""
 
     def __init__(self, path: str | Path | None) -> None:
-        self._file = open(path, "ab", buffering=0) if path else None  # noqa: SIM115 - open as long as its owner
+        self._file = open(path, "ab", buffering=0) if path else None  # noqa: SIM115 - open as long as this object
 
     def put(self, ev: str, at: int | None = None, **fields: Any) -> None:
         if self._file:
@@ -40,11 +43,11 @@
 
 
 def lines(path: Path) -> list[dict[str, Any]]:
-    """All whole lines of a record; a torn last one (a kill in mid-write) is left out."""
-    found = []
+    """All whole lines of a record. A last line that a kill cut short is left out."""
+    records = []
     for line in path.read_bytes().split(b"\n"):
         try:
-            found.append(msgspec.json.decode(line))
+            records.append(msgspec.json.decode(line))
         except msgspec.DecodeError:
             continue
-    return found
+    return records
--- a/lifthead/standins/wire.py
+++ b/lifthead/standins/wire.py
@@ -1,4 +1,7 @@
-"""HTTP for stand-ins, on h11: not the router's own codec, so that each checks the other."""
+"""HTTP/1.1 for the stand-ins.
+
+It builds on h11 and not on the router's own codec, so that each checks the other.
+"""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -14,12 +17,12 @@
     path: str
     headers: dict[str, str]
     body: bytes = b""
-    closed: asyncio.Event = field(default_factory=asyncio.Event)  # the peer went away ...
+    closed: asyncio.Event = field(default_factory=asyncio.Event)  # set when the peer has closed ...
     closed_at: int = 0  # ... at this time
 
 
 class ServerConnection:
-    """One connection's server side: reqs one after the other, with news of a peer that leaves."""
+    """The server side of a connection: one request after the other. It notices when the peer closes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -27,51 +30,51 @@
         self.peer_closed = False
 
     async def read_request(self) -> ReceivedRequest | None:
-        asked, body = None, []
+        request, body = None, []
         while True:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
                 data = await self.reader.read(65_536)
-                if not data and asked is None:
+                if not data and request is None:
                     return None
                 self.http.receive_data(data)
             elif isinstance(event, h11.Request):
                 headers = {name.decode(): value.decode("latin-1") for name, value in event.headers}
-                asked = ReceivedRequest(event.method.decode(), event.target.decode("latin-1"), headers)
+                request = ReceivedRequest(event.method.decode(), event.target.decode("latin-1"), headers)
             elif isinstance(event, h11.Data):
                 body.append(bytes(event.data))
-            elif isinstance(event, h11.EndOfMessage) and asked:
-                asked.body = b"".join(body)
-                return asked
+            elif isinstance(event, h11.EndOfMessage) and request:
+                request.body = b"".join(body)
+                return request
             else:
                 return None
 
-    async def wait_for_close(self, asked: ReceivedRequest, late: float = 0.0) -> None:
-        """Ends when the peer closes, or so many seconds later: this end is late to see it."""
+    async def wait_for_close(self, request: ReceivedRequest, delay: float = 0.0) -> None:
+        """Returns when the peer has closed. `delay`: seconds by which this side notices the close late."""
         while True:
             try:
                 data = await self.reader.read(65_536)
             except ConnectionError:
                 data = b""
             if not data:
-                await asyncio.sleep(late)
-                self.peer_closed, asked.closed_at = True, now()
-                asked.closed.set()
+                await asyncio.sleep(delay)
+                self.peer_closed, request.closed_at = True, now()
+                request.closed.set()
                 return
 
     @property
     def has_answered(self) -> bool:
-        """Whether the answer to the request in hand has begun."""
+        """Whether the answer to the current request has begun."""
         return self.http.our_state is not h11.SEND_RESPONSE
 
     def start_response(self, status: int, headers: dict[str, str]) -> None:
-        self._put(h11.Response(status_code=status, headers=list(headers.items())))
+        self._send(h11.Response(status_code=status, headers=list(headers.items())))
 
     def send_data(self, data: bytes) -> None:
-        self._put(h11.Data(data=data))
+        self._send(h11.Data(data=data))
 
     def end_response(self) -> None:
-        self._put(h11.EndOfMessage())
+        self._send(h11.EndOfMessage())
 
     def send_response(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
         fields = {"content-type": "application/json", "content-length": str(len(body)), **(headers or {})}
@@ -82,12 +85,12 @@
     def send_raw(self, data: bytes) -> None:
         self.writer.write(data)
 
-    def _put(self, event: h11.Event) -> None:
+    def _send(self, event: h11.Event) -> None:
         if not self.peer_closed and not self.writer.transport.is_closing():
             self.writer.write(self.http.send(event) or b"")
 
     def reset(self) -> None:
-        """Breaks the connection the hard way."""
+        """Resets the connection: a linger time of 0 makes the close send an RST."""
         import socket
         import struct
 
@@ -98,7 +101,7 @@
 
 
 class ClientConnection:
-    """One connection's client side."""
+    """The client side of a connection, for one request."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -115,22 +118,22 @@
         self, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
     ) -> None:
         fields = {"host": "stand-in", "content-length": str(len(body)), **(headers or {})}
-        sent = self.http.send(h11.Request(method=method, target=path, headers=list(fields.items()))) or b""
-        sent += (self.http.send(h11.Data(data=body)) or b"") if body else b""
-        self.writer.write(sent + (self.http.send(h11.EndOfMessage()) or b""))
+        data = self.http.send(h11.Request(method=method, target=path, headers=list(fields.items()))) or b""
+        data += (self.http.send(h11.Data(data=body)) or b"") if body else b""
+        self.writer.write(data + (self.http.send(h11.EndOfMessage()) or b""))
 
     async def read_status(self) -> int:
         while not self.status:
-            event = await self._event()
+            event = await self._next_event()
             if isinstance(event, h11.Response):
                 self.status = event.status_code
                 self.headers = {name.decode(): value.decode("latin-1") for name, value in event.headers}
         return self.status
 
     async def read_data(self) -> bytes:
-        """The next bytes of the body, b"" at its end."""
+        """The next bytes of the body, or b"" at its end."""
         while True:
-            event = await self._event()
+            event = await self._next_event()
             if isinstance(event, h11.Data):
                 return bytes(event.data)
             if isinstance(event, h11.EndOfMessage):
@@ -142,7 +145,7 @@
             parts.append(part)
         return b"".join(parts)
 
-    async def _event(self) -> h11.Event:
+    async def _next_event(self) -> h11.Event:
         while (event := self.http.next_event()) is h11.NEED_DATA:
             data = await self.reader.read(65_536)
             if not data:
@@ -159,7 +162,7 @@
 async def call(
     address: str, method: str, path: str, body: bytes = b"", timeout: float = 5.0
 ) -> tuple[int, bytes]:
-    """One question on a connection of its own."""
+    """Sends one request on its own connection. Returns the status and the body of the answer."""
     client = None
     try:
         async with asyncio.timeout(timeout):
@@ -172,9 +175,9 @@
 
 
 async def wait_for_any(*events: asyncio.Event) -> None:
-    """Waits until one of them is set."""
+    """Waits until one of the events is set."""
     async with asyncio.TaskGroup() as tasks:
-        waits = [tasks.create_task(event.wait()) for event in events]
-        await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        for wait in waits:
-            wait.cancel()
+        waiters = [tasks.create_task(event.wait()) for event in events]
+        await asyncio.wait(waiters, return_when=asyncio.FIRST_COMPLETED)
+        for waiter in waiters:
+            waiter.cancel()
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,7 @@
-"""A stand-in balancer before real routers: it stops within 250 ms of a drain, and sends to none not ready."""
+"""A stand-in load balancer before real routers.
+
+It sends nothing to a router that is not ready, and nothing later than 250 ms after a drain.
+"""
 
 import asyncio
 import json
@@ -11,21 +14,27 @@
 from lifthead.standins.balancer import Balancer
 from lifthead.standins.record import Record, lines
 
-TWO = SCRIPT.replace('router("r", zone = "a")', 'router("r0", zone = "a")\nrouter("r1", zone = "a")')
+TWO_ROUTERS = SCRIPT.replace('router("r", zone = "a")', 'router("r0", zone = "a")\nrouter("r1", zone = "a")')
 
 
-async def until(true, within=8.0):
-    async with asyncio.timeout(within):
-        while not true():
+async def until(condition, timeout=8.0):
+    async with asyncio.timeout(timeout):
+        while not condition():
             await asyncio.sleep(0.01)
 
 
-def test_drains_stops_kills_and_empty_lists_are_heeded(tmp_path):
+def test_a_drained_or_stopped_router_gets_no_connections_soon_after(tmp_path):
     async def play():
-        async with Processes(tmp_path, TWO.replace("limits(", 'limits(stop_notice = "400ms", ')) as stage:
-            balancer, over, answers = Balancer(Record(tmp_path / "balancer.jsonl"), 1), asyncio.Event(), []
-            for name, said in stage.routers.items():
-                balancer.add(name, stage.router_address(name), said["agent"], said["health"])
+        async with Processes(
+            tmp_path, TWO_ROUTERS.replace("limits(", 'limits(stop_notice = "400ms", ')
+        ) as test_fleet:
+            balancer, load_ends, answers = (
+                Balancer(Record(tmp_path / "balancer.jsonl"), 1),
+                asyncio.Event(),
+                [],
+            )
+            for name, ready_line in test_fleet.routers.items():
+                balancer.add(name, test_fleet.router_address(name), ready_line["agent"], ready_line["health"])
 
             async def client(number):
                 at = balancer.choose()
@@ -36,39 +45,42 @@
 
             async def load(tasks):
                 number = 0
-                while not over.is_set():
+                while not load_ends.is_set():
                     number += 1
                     tasks.create_task(client(number))
                     await asyncio.sleep(0.01)
 
             async with asyncio.TaskGroup() as tasks:
-                check = tasks.create_task(balancer.check())
-                await until(lambda: all(each.up for each in balancer.behind.values()))
+                checks = tasks.create_task(balancer.run_checks())
+                await until(lambda: all(backend.up for backend in balancer.backends.values()))
                 tasks.create_task(load(tasks))
                 await asyncio.sleep(0.3)
 
-                drained = time.monotonic_ns() // 1000
+                drain_asked_at = time.monotonic_ns() // 1000
                 await asyncio.to_thread(lifthead, "drain", "r0", "--run", tmp_path)
-                told = time.monotonic_ns() // 1000
+                drain_answered_at = time.monotonic_ns() // 1000
                 await asyncio.sleep(0.6)
                 await asyncio.to_thread(lifthead, "drain", "r0", "--undo", "--run", tmp_path)
-                await until(lambda: balancer.behind["r0"].up)
+                await until(lambda: balancer.backends["r0"].up)
                 await asyncio.sleep(0.3)
 
-                stopped = time.monotonic_ns() // 1000
-                assert (
-                    await stage.stop_process("r1", signal.SIGTERM) == 0
-                )  # says drain first, so that nothing is lost
+                stop_sent_at = time.monotonic_ns() // 1000
+                # The router replies `drain` before it stops, so that no connection is lost.
+                assert await test_fleet.stop_process("r1", signal.SIGTERM) == 0
                 await asyncio.sleep(0.3)
-                over.set()
+                load_ends.set()
                 await asyncio.sleep(0.3)
-                check.cancel()
+                checks.cancel()
             record = lines(tmp_path / "balancer.jsonl")
             sent = [(line["t"], line["router"]) for line in record if line["ev"] == "sent"]
-            assert drained < told
-            assert not [at for at, name in sent if name == "r0" and told + 250_000 < at < told + 550_000]
-            assert [at for at, name in sent if name == "r0" and at > stopped]
-            assert not [at for at, name in sent if name == "r1" and at > stopped + 250_000]
+            assert drain_asked_at < drain_answered_at
+            assert not [
+                at
+                for at, name in sent
+                if name == "r0" and drain_answered_at + 250_000 < at < drain_answered_at + 550_000
+            ]
+            assert [at for at, name in sent if name == "r0" and at > stop_sent_at]
+            assert not [at for at, name in sent if name == "r1" and at > stop_sent_at + 250_000]
             assert answers and all(b"[DONE]" in answer or b"not_ready" in answer for answer in answers)
             refused = sum(b"not_ready" in answer for answer in answers)
             assert refused < 0.05 * len(answers)
@@ -76,28 +88,28 @@
     asyncio.run(asyncio.wait_for(play(), 60))
 
 
-def test_a_router_without_a_list_or_without_writers_gets_nothing(tmp_path):
+def test_a_router_without_decode_engines_gets_no_connections(tmp_path):
     async def play():
-        async with Processes(tmp_path, TWO) as stage:
+        async with Processes(tmp_path, TWO_ROUTERS) as test_fleet:
             balancer = Balancer(Record(tmp_path / "balancer.jsonl"), 1)
-            for name, said in stage.routers.items():
-                balancer.add(name, stage.router_address(name), said["agent"], said["health"])
+            for name, ready_line in test_fleet.routers.items():
+                balancer.add(name, test_fleet.router_address(name), ready_line["agent"], ready_line["health"])
             async with asyncio.TaskGroup() as tasks:
-                check = tasks.create_task(balancer.check())
-                await until(lambda: all(each.up for each in balancer.behind.values()))
-                await stage.publish_readiness("gone", "wr", "wr2")
-                await until(lambda: not any(each.up for each in balancer.behind.values()))
+                checks = tasks.create_task(balancer.run_checks())
+                await until(lambda: all(backend.up for backend in balancer.backends.values()))
+                await test_fleet.publish_readiness("gone", "wr", "wr2")
+                await until(lambda: not any(backend.up for backend in balancer.backends.values()))
                 assert balancer.choose() is None
-                await stage.publish_readiness("ready", "wr")
-                await until(lambda: all(each.up for each in balancer.behind.values()))
-                check.cancel()
-            words = [
+                await test_fleet.publish_readiness("ready", "wr")
+                await until(lambda: all(backend.up for backend in balancer.backends.values()))
+                checks.cancel()
+            replies = [
                 (line["router"], line["word"])
                 for line in lines(tmp_path / "balancer.jsonl")
                 if line["ev"] == "word"
             ]
             for name in ("r0", "r1"):
-                assert [word for router, word in words if router == name] == ["ready", "down", "ready"]
+                assert [reply for router, reply in replies if router == name] == ["ready", "down", "ready"]
             states = json.loads(
                 (await asyncio.to_thread(lifthead, "routers", "--run", tmp_path, "--json")).stdout
             )
