--- a/lifthead/standins/__init__.py
+++ b/lifthead/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Engines, clients, a pushed list and days, written here to meet the router; and the checker of the rules.
+"""Engines, clients, a list service and scenarios to test the router with, and the checker of the rules.
 
-Nothing here imports the router: what they share with it is the settings' types and the protocols on the wire.
+Nothing here imports the router. It shares only the types of the settings and the protocols with it.
 """
--- a/lifthead/standins/day.py
+++ b/lifthead/standins/day.py
@@ -19,6 +19,8 @@
 
 
 class Scenario:
+    """One run of a scripted scenario."""
+
     def __init__(self, fleet: Fleet, script: Path, out: Path, seed: int, serve: tuple[str, ...] = ()) -> None:
         if fleet.crowd is None:
             raise ValueError("expected a crowd() call in the script, found none")
@@ -56,6 +58,7 @@
         return summary | ({"exit_codes": failed} if failed else {})
 
     async def _inject(self, fault: FaultSpec) -> None:
+        """Waits for the time of a fault and injects it."""
         await asyncio.sleep(fault.at / 1e6)
         self.test_fleet.record.put("trouble", what=fault.what, engines=fault.engines, routers=fault.routers)
         engines = self.fleet.select_engines(fault.engines)
@@ -149,6 +152,7 @@
                 await self.test_fleet.start_router(name)
 
     async def _change_load(self, fault: FaultSpec) -> None:
+        """Applies a change of the load and takes it back when the fault is over."""
         change = {
             "burst": LoadChange(rate_factor=fault.times),
             "flood": LoadChange(
--- a/lifthead/standins/engine.py
+++ b/lifthead/standins/engine.py
@@ -32,6 +32,8 @@
 
 @dataclass(slots=True)
 class HeldState:
+    """The KV state of a prefilled prompt, held for a decode engine."""
+
     tokens: int
     expiry: asyncio.TimerHandle | None = None
     claims: int = 0  # decode calls that wait for it
@@ -58,6 +60,8 @@
 
 @dataclass(slots=True)
 class Fault:
+    """A fault that the engine has until a point in time."""
+
     ends_at: int
     probability: float  # that it affects an attempt
     factor: float  # how many times slower
@@ -65,6 +69,8 @@
 
 
 class Engine:
+    """One stand-in engine, from its start to its exit."""
+
     def __init__(self, fleet: Fleet, spec: EngineSpec, seed: int, record: Record, cold: bool) -> None:
         self.spec, self.record = spec, record
         self.role, self.memory_tokens = fleet.kinds[spec.kind].role, fleet.kinds[spec.kind].memory
@@ -101,6 +107,7 @@
     # Faults.
 
     def active_fault(self, kind: str) -> Fault | None:
+        """The fault of this kind that the engine has now, if any."""
         fault = self.faults.get(kind)
         if fault and now() < fault.ends_at:
             return fault
@@ -108,6 +115,7 @@
         return None
 
     def should_inject(self, kind: str) -> bool:
+        """Draws whether a fault of this kind affects the current attempt."""
         fault = self.active_fault(kind)
         return fault is not None and self.rng.random() < fault.probability
 
@@ -244,6 +252,7 @@
         return prefixes
 
     def _cached_prefix_tokens(self, messages: list[dict]) -> int:
+        """Tokens of the longest prefix of these messages in the prefix cache."""
         return max(
             (self.prefix_cache.get(prefix_hash, 0) for prefix_hash, _ in self._prefix_hashes(messages)),
             default=0,
@@ -330,14 +339,15 @@
         connection.send_response(200, json.dumps(response).encode(), self._load_headers())
         return "closed" if request.closed.is_set() else "read"
 
-    def _free_state(self, attempt_id: str, why: str) -> bool:
+    def _free_state(self, attempt_id: str, reason: str) -> bool:
+        """Frees a held state and its memory. Returns False if none is held."""
         held = self.held_states.pop(attempt_id, None)
         if held is None:
             return False
         if held.expiry:
             held.expiry.cancel()
         self.used_tokens -= held.tokens
-        self.record.put("taken" if why == "taken" else "let_go", id=attempt_id, why=why)
+        self.record.put("taken" if reason == "taken" else "let_go", id=attempt_id, why=reason)
         self._grant_slots()
         return True
 
@@ -386,6 +396,7 @@
     # Decode.
 
     def _grant_slots(self) -> None:
+        """Gives free slots to waiting decode calls while memory is left."""
         while (
             self.slot_waiters
             and self.used_slots < self.profile.slots
--- a/lifthead/standins/listing.py
+++ b/lifthead/standins/listing.py
@@ -13,12 +13,16 @@
 
 @dataclass(slots=True, eq=False)
 class Subscription:
+    """A router that watches the list."""
+
     router: str
     connection: ServerConnection
     queue: asyncio.Queue = field(default_factory=asyncio.Queue)
 
 
 class ListService:
+    """Pushes the whole list to a router that connects, and then each change."""
+
     def __init__(self, record: Record) -> None:
         self.entries: dict[str, dict] = {}
         self.delay = 0.0  # seconds by which changes are delayed
--- a/lifthead/standins/load_generator.py
+++ b/lifthead/standins/load_generator.py
@@ -38,6 +38,8 @@
 
 @dataclass(slots=True)
 class Session:
+    """A conversation of one client: its messages so far and the turns to come."""
+
     mix: RequestMix
     tenant: str
     name: str
--- a/lifthead/standins/record.py
+++ b/lifthead/standins/record.py
@@ -12,6 +12,7 @@
 
 
 def now() -> int:
+    """Monotonic time in microseconds."""
     return time.monotonic_ns() // 1000
 
 
--- a/lifthead/standins/verify.py
+++ b/lifthead/standins/verify.py
@@ -23,6 +23,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
+    """A breach of one of the five rules, with the records that show it."""
+
     rule: int
     request: str
     reason: str
@@ -111,6 +113,7 @@
 
 
 def _read_engine(traffic: Traffic, name: str, records: list[Line], engine_ends: dict[str, list[int]]) -> None:
+    """Adds the records of one engine. What a process has in flight, and what it holds, ends with it."""
     in_flight: dict[str, Attempt] = {}
     held: dict[str, int] = {}
 
@@ -155,6 +158,7 @@
 
 
 def _any_between(times: list[int], start: int, end: int) -> bool:
+    """Whether any of the times lies between start and end, give or take the slack."""
     return any(start - SLACK <= at <= end + SLACK for at in times)
 
 
@@ -347,7 +351,7 @@
         attempt.id: attempt.started_at for attempts in traffic.attempts.values() for attempt in attempts
     }
     breaches = []
-    for attempt_id, engine, since, until, why in traffic.held_states:
+    for attempt_id, engine, since, until, reason in traffic.held_states:
         name = request_of.get(attempt_id, "")
         router = _router(attempt_id)
         if _any_between(traffic.killed_routers[router], started_at.get(attempt_id, since), until):
@@ -358,7 +362,7 @@
         ] + traffic.silences[engine]
         longest = _longest_gap(since, until, busy)
         if longest > traffic.settings["let_go_within"] + SLACK:
-            line = {"held": since, "until": until, "why": why, "engine": engine, "id": attempt_id}
+            line = {"held": since, "until": until, "why": reason, "engine": engine, "id": attempt_id}
             breaches.append(Breach(5, name, f"held for {longest} us with no attempt in flight", [line]))
     return breaches
 
--- a/lifthead/standins/wire.py
+++ b/lifthead/standins/wire.py
@@ -13,6 +13,8 @@
 
 @dataclass(slots=True)
 class ReceivedRequest:
+    """A request as a server received it."""
+
     method: str
     path: str
     headers: dict[str, str]
