--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,11 +9,11 @@
 import sys
 
 import pytest
-from lifthead.members.last_list import MAX_AGE_US, PUSH_WAIT_US, LastList, is_usable
 from loopback import SCRIPT, body, http, send_raw
 from test_fleet import Processes, lifthead
 
 from lifthead.engines.codec import ListedEngine
+from lifthead.members.last_list import MAX_AGE_US, PUSH_WAIT_US, LastList, is_usable
 
 DAY = 86_400_000_000
 READY = [ListedEngine("w", "127.0.0.1:9", "a", 0, "writer")]
@@ -37,7 +37,7 @@
 
 
 async def start_successor(stage, path):
-    return await stage._run("next", [
+    return await stage._start_process("next", [
         sys.executable, "-m", "lifthead.cli", "serve", str(path / "fleet.star"), "--router", "r", "--list",
         stage.list_url, "--run", str(path), "--log", str(path / "log-next.jsonl"), "--take-over",
     ])  # fmt: skip
@@ -47,7 +47,7 @@
     async def play():
         long_timeouts = SCRIPT.replace('"2s")\ngroup', '"9s")\ngroup').replace('"300ms", body', '"3s", body')
         async with Processes(tmp_path, long_timeouts) as stage:
-            at, old = stage.address("r"), stage._processes["r"]
+            at, old = stage.router_address("r"), stage._processes["r"]
             answers, load_ended = [], asyncio.Event()
 
             async def client(number, tokens):
@@ -100,7 +100,7 @@
             with pytest.raises(RuntimeError):
                 await start_successor(stage, tmp_path)
             assert "no router hands its sockets over" in (tmp_path / "next.err").read_text()
-            at = stage.address("r")
+            at = stage.router_address("r")
             assert b"[DONE]" in await send_raw(at, http(body("still", stream=True, max_tokens=4)))
 
     asyncio.run(asyncio.wait_for(play(), 60))
@@ -120,18 +120,18 @@
                 while not load_ended.is_set():
                     number += 1
                     up = sorted(stage.routers)
-                    at = stage.address(up[number % len(up)])
+                    at = stage.router_address(up[number % len(up)])
                     sent = http(body(f"{number}", stream=True, max_tokens=4))
                     answers[number] = up[number % len(up)], await send_raw(at, sent, within=8)
                     await asyncio.sleep(0.01)
 
             async with asyncio.TaskGroup() as tasks:
                 await asyncio.sleep(1.2)  # until the lists are stored
-                stage._lists.close()  # restarted routers can't reach the discovery service
+                stage._list_server.close()  # restarted routers can't reach the discovery service
                 loader = tasks.create_task(load())
-                await stage.end("wr2", signal.SIGKILL)  # and the last list names a dead engine
+                await stage.stop_process("wr2", signal.SIGKILL)  # and the last list names a dead engine
                 for name in ("r0", "r1"):
-                    await stage.end(name, signal.SIGTERM)
+                    await stage.stop_process(name, signal.SIGTERM)
                     await stage.start_router(name)
                     await asyncio.sleep(0.5)
                 load_ended.set()
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -12,6 +12,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from lifthead.standins.local_fleet import LocalFleet
 from loopback import SCRIPT, Loopback, body, http, send_raw
 from test_daemon import run, stream_content
 from test_fleet import lifthead
@@ -29,7 +30,6 @@
 from lifthead.ledger.reconcile import ConflictError, MergedEntries
 from lifthead.standins.billing import Billing
 from lifthead.standins.record import lines
-from lifthead.standins.stage import Stage
 
 
 def usage(number, period="2026-12", tenant="t", answer=10, **more):
@@ -490,7 +490,7 @@
 
     async def play():
         billing = Billing(tmp_path / "billing")
-        server = await asyncio.start_server(billing.connection, "127.0.0.1", 0)
+        server = await asyncio.start_server(billing.handle_connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
         ledger = Journal(DiskDirectory(tmp_path / "ledger"), "one")
         ledger.append([usage(number) for number in range(4)])
@@ -542,7 +542,7 @@
 
     async def play():
         billing = Billing(tmp_path / "billing", **{kind: 0.3})
-        server = await asyncio.start_server(billing.connection, "127.0.0.1", 0)
+        server = await asyncio.start_server(billing.handle_connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
         ledger = Journal(DiskDirectory(tmp_path / "ledger"), "one")
         ledger.append([usage(number) for number in range(40)])
@@ -626,19 +626,19 @@
     async def play():
         rng = random.Random(seed)
         billing = Billing(path / "billing", seed, fails=0.2, silent=0.1, slow=0.02)
-        server = await asyncio.start_server(billing.connection, "127.0.0.1", 0)
+        server = await asyncio.start_server(billing.handle_connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
         text = SCRIPT.replace('router("r", zone = "a")', '[router("r%d" % n, zone = "a") for n in range(3)]')
         text += f'ledger(wait = True, export_to = "{url}", export_every = "150ms")\n'
         file = path / "fleet.star"
         file.write_text(text)
-        stage = Stage(script.read(file), file, path, seed)
+        stage = LocalFleet(script.read(file), file, path, seed)
         received = []
 
         async def client(number):
             chat = body(f"{seed} {number}", stream=True, max_tokens=30)
             name = rng.choice(sorted(stage.routers) or ["r0"])
-            at = stage.address(name) if name in stage.routers else "127.0.0.1:1"
+            at = stage.router_address(name) if name in stage.routers else "127.0.0.1:1"
             try:
                 answer = await send_raw(at, http(chat), within=8)
             except (OSError, TimeoutError):
@@ -665,11 +665,11 @@
                     await asyncio.sleep(0.012)
                     if number % 60 == 40:
                         name = rng.choice(sorted(stage.routers))
-                        await stage.end(name, signal.SIGKILL)
+                        await stage.stop_process(name, signal.SIGKILL)
                         tasks.create_task(stage.start_router(name))
-            await stage.close()
+            await stage.stop()
         finally:
-            await stage.abandon()
+            await stage.kill_all()
         for at in range(3):  # exports what the kills left in the ledgers
             done = await asyncio.to_thread(
                 lifthead, "ledger", "export", "--dir", path / f"ledger-r{at}", "--to", url
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,8 +12,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from lifthead.members.last_list import LastList
-from lifthead.members.registry import EngineRegistry
 from loopback import SCRIPT, Loopback, body, http, send_raw
 from test_daemon import run
 from test_fleet import Processes, address, lifthead
@@ -22,7 +20,9 @@
 from lifthead.daemon import serve
 from lifthead.deployment import script
 from lifthead.engines.codec import ListedEngine, ListUpdate
+from lifthead.members.last_list import LastList
 from lifthead.members.listing import compare_listings, make_listing
+from lifthead.members.registry import EngineRegistry
 from lifthead.members.store import GenerationStore, replace_file
 from lifthead.members.view import CAUTION_RANK, FLAP_LIMIT, FLAP_QUIET_US, FleetView
 
@@ -259,7 +259,7 @@
 
             watched = tmp_path / "engines.star"
             put(lines("rd", "wr", "wr2", "wr3"))
-            await stage.end("r", signal.SIGKILL)
+            await stage.stop_process("r", signal.SIGKILL)
             stage.engine_file = watched
             await stage.start_router("r")
             at = address(stage)
@@ -324,7 +324,7 @@
             between = [line for line in attempts if changed + 250_000 < line["t"] < changed + 1_000_000]
             assert attempts and not between and confirmed > changed + 1_000_000
             os.remove(watched)
-            await stage.end("r", signal.SIGKILL)
+            await stage.stop_process("r", signal.SIGKILL)
             await stage.start_router("r")  # without the file: it uses the last stored generation
             assert b"[DONE]" in await send_raw(address(stage), http(body(stream=True)))
             assert (await state())["file"]["generation"] == 5
@@ -361,7 +361,7 @@
                 assert all(b"[DONE]" in answer for answer in await asyncio.gather(*calls))
 
             await check_answers(30)
-            await stage.end("r", signal.SIGKILL)
+            await stage.stop_process("r", signal.SIGKILL)
             await stage.start_router("r")
             await check_answers(30)
             records = [
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -218,7 +218,7 @@
                     await asyncio.sleep(0.05)
 
             arguments = ["-m", "lifthead.cli", "roll", "kind:writer", "--restart", command, "--floor", "0.4"]
-            at, answers = stage.address("r"), []
+            at, answers = stage.router_address("r"), []
 
             async def load():
                 for number in range(400):
