--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -441,9 +441,8 @@
     import functools
     import signal
 
-    from lifthead.standins.local_fleet import LocalFleet
-
     from lifthead.fleet import admin
+    from lifthead.standins.local_fleet import LocalFleet
 
     async def run_fleet() -> None:
         fleet = _read_settings(file)
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -16,7 +16,6 @@
 
 import msgspec
 import structlog
-from lifthead.members.registry import EngineRegistry, Outcome
 
 from lifthead.chat import codec
 from lifthead.chat.codec import BadRequestError, ChatApi
@@ -38,6 +37,7 @@
 from lifthead.members import last_list, watch
 from lifthead.members.drains import Drains, OperatorState, SelectorError, select_engines
 from lifthead.members.handover import Predecessor, offer_sockets
+from lifthead.members.registry import EngineRegistry, Outcome
 from lifthead.members.store import GenerationStore, replace_file
 from lifthead.members.view import FleetView
 from lifthead.members.weight import AdvertisedWeight, target_weight
--- a/lifthead/standins/day.py
+++ b/lifthead/standins/day.py
@@ -6,13 +6,12 @@
 from pathlib import Path
 from typing import Any
 
-from lifthead.standins.load_generator import LoadChange, LoadGenerator
-from lifthead.standins.local_fleet import LocalFleet
-
 from lifthead.deployment.fleet import FaultSpec, Fleet
 from lifthead.members.roll import Plan, Step
 from lifthead.members.rolling import RollFile, RollRunner, SavedRoll
 from lifthead.standins import verify
+from lifthead.standins.load_generator import LoadChange, LoadGenerator
+from lifthead.standins.local_fleet import LocalFleet
 from lifthead.standins.record import Record, checker_settings, now
 from lifthead.standins.text import filler
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -12,7 +12,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from lifthead.standins.local_fleet import LocalFleet
 from loopback import SCRIPT, Loopback, body, http, send_raw
 from test_daemon import run, stream_content
 from test_fleet import lifthead
@@ -29,6 +28,7 @@
 from lifthead.ledger.quota import MIN_SHARE, Quota, TokenBudget
 from lifthead.ledger.reconcile import ConflictError, MergedEntries
 from lifthead.standins.billing import Billing
+from lifthead.standins.local_fleet import LocalFleet
 from lifthead.standins.record import lines
 
 
