--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -677,7 +677,8 @@
 
 @pytest.mark.parametrize(
     "end",
-    [[CLOSE], [reset, CLOSE], [LAST_CHUNK], [encode_chunk(END[:-14]) + LAST_CHUNK], [encode_chunk(EVENT[:20]), CLOSE],
+    [[CLOSE], [reset, CLOSE], [LAST_CHUNK], [encode_chunk(END[:-14]) + LAST_CHUNK],
+     [encode_chunk(EVENT[:20]), CLOSE],
      [encode_chunk(EVENT[:20]) + LAST_CHUNK], [encode_chunk(END), CLOSE], [b"5\r\nabc"], [HANG]],
 )  # fmt: skip
 def test_an_incomplete_stream_gets_no_last_chunk_and_is_not_restarted(end):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -209,8 +209,9 @@
 
 @pytest.mark.parametrize(
     ("status", "mark", "outcome"),
-    [(202, "", (AttemptOutcome.PREFILLED, 0)), (500, "", (AttemptOutcome.ERROR, 0)), (503, "1", (AttemptOutcome.REJECTED, 0)),
-     (504, "1", (AttemptOutcome.REJECTED, 0)), (503, "", (AttemptOutcome.ERROR, 0)), (410, "1", (AttemptOutcome.REJECTED, 1)),
+    [(202, "", (AttemptOutcome.PREFILLED, 0)), (500, "", (AttemptOutcome.ERROR, 0)),
+     (503, "1", (AttemptOutcome.REJECTED, 0)), (504, "1", (AttemptOutcome.REJECTED, 0)),
+     (503, "", (AttemptOutcome.ERROR, 0)), (410, "1", (AttemptOutcome.REJECTED, 1)),
      (400, "", (AttemptOutcome.ERROR, 0)), (302, "", (AttemptOutcome.ERROR, 0))],
 )  # fmt: skip
 def test_the_head_of_an_answer_gives_the_attempts_outcome(status, mark, outcome):
