--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -207,13 +207,13 @@
     answers = _ask_routers(run, {"ask": "members"})
     if as_json:
         return print_json(answers)
-    for name, found in answers.items():
-        if found is None:
+    for name, answer in answers.items():
+        if answer is None:
             typer.echo(f"{name}: dead")
             continue
-        print_table([found["file"]] if found["file"] else [], f"{name}: file")
-        print_table(found["sources"], f"{name}: sources")
-        print_table(found["engines"], f"{name}: engines")
+        print_table([answer["file"]] if answer["file"] else [], f"{name}: file")
+        print_table(answer["sources"], f"{name}: sources")
+        print_table(answer["engines"], f"{name}: engines")
     return None
 
 
@@ -223,12 +223,12 @@
     rows = [
         {
             "router": name,
-            "taken": bool(found and found.get("taken")),
-            "why": (found.get("why") or found.get("error", "")) if found else "dead",
-            "digest": found.get("digest") if found else None,
-            "generation": found.get("generation") if found else None,
+            "taken": bool(answer and answer.get("taken")),
+            "why": (answer.get("why") or answer.get("error", "")) if answer else "dead",
+            "digest": answer.get("digest") if answer else None,
+            "generation": answer.get("generation") if answer else None,
         }
-        for name, found in answers.items()
+        for name, answer in answers.items()
     ]
     print_json(rows) if as_json else print_table(rows, "routers")
     if not all(row["taken"] for row in rows):
@@ -284,12 +284,12 @@
     answers = _ask_routers(run, question)
     if as_json:
         print_json(answers)
-    for name, found in answers.items() if not as_json else ():
-        if found is None or not found["taken"]:
-            typer.echo(f"{name}: {found['why'] if found else 'dead'}")
+    for name, answer in answers.items() if not as_json else ():
+        if answer is None or not answer["taken"]:
+            typer.echo(f"{name}: {answer['why'] if answer else 'dead'}")
         else:
-            print_table(found["engines"], f"{name}: draining")
-    if not all(found and found["taken"] for found in answers.values()):
+            print_table(answer["engines"], f"{name}: draining")
+    if not all(answer and answer["taken"] for answer in answers.values()):
         raise typer.Exit(1)
 
 
@@ -405,19 +405,19 @@
 
     fleet = _read_settings(settings)
     try:
-        then, before = (listing(script.engines(path.read_text(), str(path))) for path in (file, now))
+        proposed, current = (listing(script.engines(path.read_text(), str(path))) for path in (file, now))
     except (script.ScriptError, OSError, UnicodeDecodeError) as problem:
         typer.echo(str(problem), err=True)
         raise typer.Exit(2) from None
-    found = change(before, then, fleet)
+    changes = change(current, proposed, fleet)
     if as_json:
-        print_json(found.plain() | {"digest": then.digest})
+        print_json(changes.plain() | {"digest": proposed.digest})
     else:
         print_table(
-            [{"what": key, "engines": str(value)} for key, value in found.plain().items()],
-            f"digest {then.digest}",
+            [{"what": key, "engines": str(value)} for key, value in changes.plain().items()],
+            f"digest {proposed.digest}",
         )
-    if found.refused or found.held:
+    if changes.refused or changes.held:
         raise typer.Exit(1)
 
 
@@ -499,11 +499,11 @@
 
     try:
         traffic = checker.read(directory)
-        found = checker.breaches(traffic)
+        breaches = checker.breaches(traffic)
     except (OSError, KeyError) as problem:
         typer.echo(f"{directory}: not a day's records: {problem!r}", err=True)
         raise typer.Exit(2) from None
-    counts = {str(rule): sum(breach.rule == rule for breach in found) for rule in range(1, 6)}
+    counts = {str(rule): sum(breach.rule == rule for breach in breaches) for rule in range(1, 6)}
     if as_json:
         print_json(
             {
@@ -513,14 +513,14 @@
             }
         )
     else:
-        for breach in found:
+        for breach in breaches:
             typer.echo(f"rule {breach.rule}, {breach.req}: {breach.why}")
             for line in breach.lines:
                 typer.echo(f"    {msgspec.json.encode(line).decode()}")
         print_table(
             [{"rule": rule, "breaches": count} for rule, count in counts.items()], f"{len(traffic.asks)} reqs"
         )
-    if found:
+    if breaches:
         raise typer.Exit(1)
 
 
