--- a/lifthead/ledger/book.py
+++ b/lifthead/ledger/book.py
@@ -84,12 +84,14 @@
         else:
             self.exported, self.planned = entry.last, None
 
-    def _add(self, entry: Usage | Correction, reqs: int, prompt: int, answer: int, read_anew: int) -> None:
+    def _add(
+        self, entry: Usage | Correction, requests: int, prompt: int, answer: int, prefilled_again: int
+    ) -> None:
         total = self.sums.setdefault((entry.period, entry.tenant, entry.group), UsageTotal())
-        total.reqs += reqs
+        total.reqs += requests
         total.prompt += prompt
         total.answer += answer
-        total.read_anew += read_anew
+        total.read_anew += prefilled_again
 
     def open_period(self, wanted: str) -> str:
         """The period in which an entry of the wanted period counts: the wanted one, or the first open one
@@ -160,6 +162,7 @@
 
 
 def encode_book(book: Book) -> bytes:
+    """A book as the data of a snapshot."""
     return msgspec.msgpack.encode(
         BookSnapshot(
             book.last,
--- a/lifthead/ledger/export.py
+++ b/lifthead/ledger/export.py
@@ -44,6 +44,7 @@
 
 
 def row(number: int, entry: Usage | Correction) -> dict:
+    """The columns of one entry in an export."""
     fields = msgspec.structs.asdict(entry)
     if isinstance(entry, Correction):
         fields |= {
--- a/lifthead/ledger/journal.py
+++ b/lifthead/ledger/journal.py
@@ -28,6 +28,7 @@
 
 
 def encode_record(number: int, entry: Entry) -> bytes:
+    """One record as it is written to a segment."""
     payload = encode((number, entry))
     return RECORD_HEADER.pack(len(payload), crc32c(payload)) + payload
 
--- a/lifthead/ledger/keeper.py
+++ b/lifthead/ledger/keeper.py
@@ -44,6 +44,8 @@
 
 
 class LedgerWriter:
+    """Queues a router's entries, writes them to its journal, and exports them to the billing system."""
+
     def __init__(
         self, journal: Journal, terms: LedgerTerms, log: Any, on_lost: Callable[[int], None]
     ) -> None:
@@ -201,6 +203,7 @@
 
 
 def record_delivery(journal: Journal, planned: Any, at: int) -> None:
+    """Records in the ledger that the billing system has accepted a batch."""
     entry = Delivered(id=planned.id, at=at, first=planned.first, last=planned.last)
     journal.book.check(entry)
     journal.append([entry])
--- a/lifthead/ledger/reconcile.py
+++ b/lifthead/ledger/reconcile.py
@@ -45,6 +45,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
+    """A request whose answer tokens the ledger and the engines count differently."""
+
     request_id: str
     tenant: str
     ours: int  # answer tokens decoded according to the ledger
@@ -54,7 +56,9 @@
 
 @dataclass(slots=True)
 class Report:
-    agree: dict[str, int] = field(default_factory=dict)  # requests by tenant
+    """The requests that agree, by tenant, and the differences."""
+
+    agree: dict[str, int] = field(default_factory=dict)
     differ: list[Difference] = field(default_factory=list)
 
 
--- a/lifthead/members/listing.py
+++ b/lifthead/members/listing.py
@@ -20,6 +20,7 @@
 
 
 def make_listing(engines: dict[str, EngineSpec]) -> Listing:
+    """A listing of these engines with its digest."""
     plain = [msgspec.to_builtins(engines[name]) for name in sorted(engines)]
     return Listing(dict(engines), blake2b(msgspec.json.encode(plain), digest_size=8).hexdigest())
 
--- a/lifthead/members/roll.py
+++ b/lifthead/members/roll.py
@@ -56,12 +56,16 @@
 
 
 class RouterStatus(msgspec.Struct):
+    """A router as it reports itself."""
+
     ready: bool = True
     requests: int = 0
     process_id: int = 0
 
 
 class FleetStatus(msgspec.Struct):
+    """Everything that a roll knows of the fleet when it decides."""
+
     engines: dict[str, EngineStatus]
     routers: dict[str, RouterStatus]  # the ones that answer
     answers: int = 0  # recent answers of all routers
@@ -70,6 +74,8 @@
 
 
 class Host(Protocol):
+    """What a roll acts through: storage of the progress, drains, restart commands and messages."""
+
     def save(self, steps: list[Step]) -> None: ...
     def drain(self, step: Step) -> None: ...
     def restart(self, step: Step) -> None:
@@ -119,6 +125,8 @@
 
 
 class Roll:
+    """Decides which step of a plan comes next; keeps the floor and pauses while targets are missed."""
+
     def __init__(self, host: Host, plan: Plan, steps: list[Step] | None = None) -> None:
         self.host, self.plan = host, plan
         self.steps = steps or [
