--- a/lifthead/standins/faults/__init__.py
+++ b/lifthead/standins/faults/__init__.py
@@ -1,5 +1,6 @@
-"""Stand-ins that meet real router processes with faults: engines of the platform's protocol, a fault proxy
-between every pair, clients, discovery, a schedule drawn from a seed, and a checker of the recorded traffic.
+"""Fault injection against real router processes.
 
+It consists of stand-in engines that speak the platform's protocol, a fault proxy on each connection path,
+simulated clients, a discovery service, schedules drawn from a seed, and a checker of the recorded traffic.
 Nothing here imports the router.
 """
--- a/lifthead/standins/faults/__main__.py
+++ b/lifthead/standins/faults/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lifthead.standins.faults NAME ...`: one stand-in engine as a process."""
+"""Runs one stand-in engine: `python -m lifthead.standins.faults SPEC`, with an EngineSpec as JSON."""
 
 from lifthead.standins.faults.engine import main
 
--- a/lifthead/standins/faults/discovery.py
+++ b/lifthead/standins/faults/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in of discovery: the whole list, and watches that tell each change."""
+"""A stand-in for the discovery service: it streams the full list of engines at each change."""
 
 import asyncio
 import contextlib
@@ -8,12 +8,12 @@
 
 from lifthead.standins.record import Record
 
-KEEP_ALIVE = 1.0  # seconds between empty lines while nothing changes
+KEEP_ALIVE_INTERVAL = 1.0  # seconds between empty lines while the list does not change
 
 
 @dataclass(slots=True)
-class Listed:
-    """One engine of the list, as every router sees it; addresses are each router's own."""
+class ListedEngine:
+    """One engine in the list. All routers share it; only the address differs between them."""
 
     name: str
     kind: str
@@ -24,30 +24,30 @@
 
 @dataclass(eq=False)
 class Discovery:
-    """Serves one router's view: `ports` tells through which port it reaches each engine."""
+    """Serves the list to one router. `ports` maps each engine to the port of its proxy."""
 
     router: str
-    engines: dict[str, Listed]
+    engines: dict[str, ListedEngine]
     ports: dict[str, int]
     record: Record
     version: int = 1
     port: int = 0
-    _changed: asyncio.Event = field(default_factory=asyncio.Event)
+    _change_event: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def start(self) -> None:
-        self._server = await asyncio.start_server(self._connection, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(self._serve_watch, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def changed(self) -> None:
-        """The shared list has changed: every open watch is told."""
+    def notify_watches(self) -> None:
+        """Sends the changed list to every open watch."""
         self.version += 1
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
     def close(self) -> None:
         self._server.close()
 
-    def whole_list(self) -> bytes:
+    def full_list(self) -> bytes:
         targets = [
             {
                 "uid": each.name, "endpoint": f"127.0.0.1:{self.ports[each.name]}", "az": each.zone,
@@ -58,24 +58,24 @@
         ]  # fmt: skip
         return json.dumps({"rev": self.version, "all": True, "targets": targets}).encode()
 
-    async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
-            told = 0
+            sent_version = 0
             while not writer.transport.is_closing():
                 line = b""
-                if told != self.version:
-                    told, line = self.version, self.whole_list()
+                if sent_version != self.version:
+                    sent_version, line = self.version, self.full_list()
                     states = {each.name: each.state for each in self.engines.values()}
-                    self.record.put("told", router=self.router, version=told, states=states)
+                    self.record.put("told", router=self.router, version=sent_version, states=states)
                 writer.write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
                 await writer.drain()
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self._changed.wait(), KEEP_ALIVE)
+                    await asyncio.wait_for(self._change_event.wait(), KEEP_ALIVE_INTERVAL)
         writer.close()
 
 
 def unix_ms() -> int:
-    """Now, as `boot_ms` tells it."""
+    """Returns the wall-clock time in the unit of `boot_ms`."""
     return time.time_ns() // 1_000_000
--- a/lifthead/standins/faults/engine.py
+++ b/lifthead/standins/faults/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in engine of the platform's protocol, one process each.
+"""A stand-in engine that speaks the platform's protocol and runs as a process of its own.
 
-Prefill engines hold the state of what they have read until a decode engine fetches it or a release arrives
-at any engine. Engines talk to each other directly, past the fault proxies. Each fact is recorded when this
-process acts on it: a process that is stopped records nothing, as nothing has reached it.
+Prefill engines hold the KV state of a prompt until a decode engine fetches it or a release arrives at any
+engine. Engines call each other directly, without a fault proxy. Each event is recorded when this process acts
+on it, so a suspended process records nothing.
 """
 
 import argparse
@@ -15,26 +15,26 @@
 
 from lifthead.standins import wire
 from lifthead.standins.faults import settings
-from lifthead.standins.faults.misbehaviour import ANSWERS, Misbehaviour, draw
+from lifthead.standins.faults.misbehaviour import ERROR_RESPONSES, Misbehaviour, draw_misbehaviour
 from lifthead.standins.record import Record
 from lifthead.standins.wire import Asked, Server
 
-TRACE = "x-trace-id"
-EXPIRES = "x-expires-in-ms"  # how long the router will wait for the first token
-EXPIRES_MS = 60_000  # where it does not tell
-EXPIRES_SLACK = 1.0  # seconds beyond it, after which an engine whose router is silent gives up by itself
+TRACE_HEADER = "x-trace-id"
+EXPIRES_HEADER = "x-expires-in-ms"  # how long the router waits for the first token
+DEFAULT_EXPIRES_MS = 60_000  # if the header is missing
+EXPIRES_SLACK = 1.0  # seconds beyond that time, after which the engine gives up by itself
 RELEASE_PATH = "/bootstrap/rooms/"
-INTERNAL = "/internal/"
-PEER_WITHIN = 0.3  # seconds for another engine's answer
-LEAVE_WITHIN = 10.0  # seconds: what was counted there has to be taken back
-PASSED_ON_WITHIN = 0.05  # seconds that the answer to a release waits for the engines that it is passed on to
-SLOW_TAKES = 5.0  # seconds
-KEPT_PART = 0.1  # of the time that a prompt takes, for one that is in the prefix cache
-PROMPT_KEPT = settings.LONG_PROMPT - 50  # tokens of such a prompt that are found there
-EVENTS = 4  # of an answer
-EVENT_EVERY = 0.02  # seconds
-TOKEN = b'data: {"choices":[{"index":0,"delta":{"content":"oqvh"},"finish_reason":null}]}\n\n'
-USAGE = (
+INTERNAL_PATH = "/internal/"
+PEER_TIMEOUT = 0.3  # seconds for another engine's answer
+LEAVE_TIMEOUT = 10.0  # seconds; long, since a call that is counted as waiting must be uncounted
+RELEASE_FORWARD_TIMEOUT = 0.05  # seconds for the prefill engines, before a release is answered anyway
+SLOW_FIRST_TOKEN = 5.0  # seconds
+CACHED_PREFILL_SHARE = 0.1  # of the prefill time, for a prompt that is in the prefix cache
+CACHED_TOKENS = settings.LONG_PROMPT - 50  # tokens of a cached prompt that the cache provides
+TOKEN_EVENTS = 4  # events in an answer
+TOKEN_INTERVAL = 0.02  # seconds
+TOKEN_EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"oqvh"},"finish_reason":null}]}\n\n'
+USAGE_EVENTS = (
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":4,'
     b'"prompt_tokens_details":{"cached_tokens":7}}}\n\ndata: [DONE]\n\n'
 )
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class EngineSpec:
-    """How one engine is started. Times are seconds."""
+    """The configuration of one engine process. Times are in seconds."""
 
     name: str
     kind: str
@@ -51,185 +51,203 @@
     record: str
     read_takes: float = 0.08
     first_token_takes: float = 0.05
-    takes_up_after: float = 0.0  # how late it begins with what has arrived
-    slow_share: float = 0.0  # part of the requests that take SLOW_TAKES to the first token, at any engine
-    sees_close_after: float = 0.0  # how late it sees that a router has closed its connection
-    misbehaves: float = 0.0  # part of the requests that it does not answer as an engine that is well
+    takes_up_after: float = 0.0  # delay before it begins with a request that has arrived
+    slow_share: float = 0.0  # share of the requests that take SLOW_FIRST_TOKEN at any engine
+    sees_close_after: float = 0.0  # delay before it sees that a router has closed a connection
+    misbehaves: float = 0.0  # share of the requests that it answers wrongly
     seed: int = 0
 
 
 @dataclass(eq=False)
 class Engine:
+    """The state and the request handlers of one engine process."""
+
     spec: EngineSpec
     record: Record
     tasks: asyncio.TaskGroup
-    held: dict[str, int] = field(default_factory=dict)  # request -> decode calls that wait for its state
-    read: set[str] = field(default_factory=set)  # requests whose prompt was ever read here
-    kept: set[str] = field(default_factory=set)  # ... and is in the prefix cache
+    held_states: dict[str, int] = field(default_factory=dict)  # by request: the decode calls that wait for it
+    prefilled: set[str] = field(default_factory=set)  # requests whose state was held here
+    prefix_cache: set[str] = field(default_factory=set)  # requests whose prompt is cached
 
     def __post_init__(self) -> None:
-        self.chance = random.Random(self.spec.seed)
+        self.rng = random.Random(self.spec.seed)
 
-    def put(self, event: str, request: str, **more: object) -> None:
-        self.record.put(event, request=request, engine=self.spec.name, **more)
+    def _record_event(self, event: str, request_id: str, **fields: object) -> None:
+        self.record.put(event, request=request_id, engine=self.spec.name, **fields)
 
-    async def connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         server = Server(reader, writer)
         port = writer.get_extra_info("peername")[1]
         with contextlib.suppress(OSError):
-            while asked := await server.next():
-                if not await self._answer(server, asked, port):
+            while http_request := await server.next():
+                if not await self._handle(server, http_request, port):
                     break
                 server.http.start_next_cycle()
         writer.close()
 
-    async def _answer(self, server: Server, asked: Asked, port: int) -> bool:
-        """Answers one request; whether the connection serves another."""
-        if asked.path.startswith(INTERNAL):
-            return await self._peer(server, asked)
-        if asked.method == "DELETE" and asked.path.startswith(RELEASE_PATH):
-            await self._release(asked.path.removeprefix(RELEASE_PATH))
+    async def _handle(self, server: Server, http_request: Asked, port: int) -> bool:
+        """Answers one request and returns whether the connection can serve another."""
+        if http_request.path.startswith(INTERNAL_PATH):
+            return await self._handle_peer_call(server, http_request)
+        if http_request.method == "DELETE" and http_request.path.startswith(RELEASE_PATH):
+            await self._release(http_request.path.removeprefix(RELEASE_PATH))
             server.begin(204, {})
             server.end()
             return True
-        request = asked.headers.get(TRACE, "")
-        if not request:
+        request_id = http_request.headers.get(TRACE_HEADER, "")
+        if not request_id:
             server.whole(404, b"")
             return True
-        asked.headers.setdefault(EXPIRES, str(EXPIRES_MS))
+        http_request.headers.setdefault(EXPIRES_HEADER, str(DEFAULT_EXPIRES_MS))
         await asyncio.sleep(self.spec.takes_up_after)
-        self.put("arrived", request, kind=self.spec.kind, port=port, qos=asked.headers.get("x-qos", ""))
+        self._record_event(
+            "arrived", request_id, kind=self.spec.kind, port=port, qos=http_request.headers.get("x-qos", "")
+        )
         is_prefill = self.spec.kind == settings.PREFILL
-        kind = draw(self.chance, self.spec.misbehaves, is_prefill)
+        misbehaviour = draw_misbehaviour(self.rng, self.spec.misbehaves, is_prefill)
         serve = self._prefill if is_prefill else self._decode
         async with asyncio.TaskGroup() as tasks:
-            watching = tasks.create_task(server.watch(asked, self.spec.sees_close_after))
-            goes_on = not kind.works or await serve(server, asked, request, port, kind)
-            if goes_on and not kind.answers and not server.has_answered:
-                goes_on = self._answer_otherwise(server, kind)
+            watching = tasks.create_task(server.watch(http_request, self.spec.sees_close_after))
+            keep_alive = not misbehaviour.does_work or await serve(
+                server, http_request, request_id, port, misbehaviour
+            )
+            if keep_alive and not misbehaviour.answers_normally and not server.has_answered:
+                keep_alive = self._misbehave(server, misbehaviour)
             watching.cancel()
-        self.put("over", request, port=port)
-        return goes_on and kind is not Misbehaviour.CLOSES
+        self._record_event("over", request_id, port=port)
+        return keep_alive and misbehaviour is not Misbehaviour.CLOSES
 
-    def _answer_otherwise(self, server: Server, kind: Misbehaviour) -> bool:
-        """Whether the connection serves another request."""
-        if answer := ANSWERS.get(kind):
+    def _misbehave(self, server: Server, misbehaviour: Misbehaviour) -> bool:
+        """Sends the faulty answer, if any, and returns whether the connection can serve another request."""
+        if answer := ERROR_RESPONSES.get(misbehaviour):
             server.whole(answer.status, b"", answer.headers)
         return answer is not None
 
-    async def _pause(self, asked: Asked, seconds: float) -> bool:
-        """Whether the router is still there after this time, and waits as long as it has told."""
-        waits = int(asked.headers[EXPIRES]) / 1000 + EXPIRES_SLACK
+    async def _wait_unless_closed(self, http_request: Asked, seconds: float) -> bool:
+        """Waits and returns whether the router is still connected and its time limit has not passed."""
+        router_waits = int(http_request.headers[EXPIRES_HEADER]) / 1000 + EXPIRES_SLACK
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(min(seconds, waits)):
-                await asked.closed.wait()
-        return not asked.closed.is_set() and seconds <= waits
+            async with asyncio.timeout(min(seconds, router_waits)):
+                await http_request.closed.wait()
+        return not http_request.closed.is_set() and seconds <= router_waits
 
     async def _prefill(
-        self, server: Server, asked: Asked, request: str, port: int, kind: Misbehaviour
+        self, server: Server, http_request: Asked, request_id: str, port: int, misbehaviour: Misbehaviour
     ) -> bool:
-        takes = self.spec.read_takes * self.chance.uniform(0.5, 1.5)
-        kept = PROMPT_KEPT if request in self.kept else 0
-        if not await self._pause(asked, takes * KEPT_PART if kept else takes):
+        duration = self.spec.read_takes * self.rng.uniform(0.5, 1.5)
+        cached_tokens = CACHED_TOKENS if request_id in self.prefix_cache else 0
+        if not await self._wait_unless_closed(
+            http_request, duration * CACHED_PREFILL_SHARE if cached_tokens else duration
+        ):
             return False
-        self.read.add(request)
-        self.kept.add(request)
-        self.held[request] = 0
-        self.put("held", request, port=port)
-        if kind.answers:
-            server.whole(202, b'{"cached_tokens":%d}' % kept)
-        return not asked.closed.is_set() and not server.gone
+        self.prefilled.add(request_id)
+        self.prefix_cache.add(request_id)
+        self.held_states[request_id] = 0
+        self._record_event("held", request_id, port=port)
+        if misbehaviour.answers_normally:
+            server.whole(202, b'{"cached_tokens":%d}' % cached_tokens)
+        return not http_request.closed.is_set() and not server.gone
 
     async def _decode(
-        self, server: Server, asked: Asked, request: str, port: int, kind: Misbehaviour
+        self, server: Server, http_request: Asked, request_id: str, port: int, misbehaviour: Misbehaviour
     ) -> bool:
-        known = await self._ask_peers("wait", request)
-        if known == "held":
-            self.put("waiting", request, port=port)
-        if known == "gone":
+        state = await self._call_prefill_engines("wait", request_id)
+        if state == "held":
+            self._record_event("waiting", request_id, port=port)
+        if state == "gone":
             server.whole(410, b"", {"x-never-ran": "1"})
             return True
-        if not await self._pause(asked, self._first_token_takes(request)):
-            if known:
-                await self._ask_peers("leave", request)
+        if not await self._wait_unless_closed(http_request, self._time_to_first_token(request_id)):
+            if state:
+                await self._call_prefill_engines("leave", request_id)
             return False
-        if known and await self._ask_peers("take", request) != "taken":
+        if state and await self._call_prefill_engines("take", request_id) != "taken":
             server.whole(410, b"", {"x-never-ran": "1"})
             return True
-        self.put("ran", request, qos=asked.headers.get("x-qos", ""))
-        if not kind.answers:
+        self._record_event("ran", request_id, qos=http_request.headers.get("x-qos", ""))
+        if not misbehaviour.answers_normally:
             return True
         server.begin(200, {"content-type": "text/event-stream", "transfer-encoding": "chunked"})
-        for _ in range(EVENTS):
-            server.data(TOKEN)
-            if not await self._pause(asked, EVENT_EVERY):
+        for _ in range(TOKEN_EVENTS):
+            server.data(TOKEN_EVENT)
+            if not await self._wait_unless_closed(http_request, TOKEN_INTERVAL):
                 return False
-        server.data(USAGE)
+        server.data(USAGE_EVENTS)
         server.end()
         return True
 
-    def _first_token_takes(self, request: str) -> float:
-        if zlib.crc32(request.encode()) % 100 < 100 * self.spec.slow_share:
-            return SLOW_TAKES
-        return self.spec.first_token_takes * self.chance.uniform(0.5, 1.5)
+    def _time_to_first_token(self, request_id: str) -> float:
+        if zlib.crc32(request_id.encode()) % 100 < 100 * self.spec.slow_share:
+            return SLOW_FIRST_TOKEN
+        return self.spec.first_token_takes * self.rng.uniform(0.5, 1.5)
+
+    async def _release(self, request_id: str) -> None:
+        """Forwards a release to all prefill engines.
 
-    async def _release(self, request: str) -> None:
-        """A prefill engine that is stopped takes it later; the answer does not wait for that."""
-        self.put("release_arrived", request)
-        asked = [
-            self.tasks.create_task(self._ask_peer(port, "release", request))
+        A suspended engine handles it after it continues; the answer to the router does not wait for that.
+        """
+        self._record_event("release_arrived", request_id)
+        calls = [
+            self.tasks.create_task(self._call_peer(port, "release", request_id))
             for port in self.spec.peers.values()
         ]
-        await asyncio.wait(asked, timeout=PASSED_ON_WITHIN)
+        await asyncio.wait(calls, timeout=RELEASE_FORWARD_TIMEOUT)
 
-    async def _ask_peers(self, what: str, request: str) -> str:
-        """What the prefill engine says that holds the state; else "gone" if one has held it, or ""."""
-        found = ""
-        asked = [
-            self.tasks.create_task(self._ask_peer(port, what, request)) for port in self.spec.peers.values()
+    async def _call_prefill_engines(self, operation: str, request_id: str) -> str:
+        """Returns the answer of the engine that holds the state, else "gone" if one has held it, else ""."""
+        fallback = ""
+        calls = [
+            self.tasks.create_task(self._call_peer(port, operation, request_id))
+            for port in self.spec.peers.values()
         ]
-        for answered in asyncio.as_completed(asked):
-            answer = await answered
+        for reply in asyncio.as_completed(calls):
+            answer = await reply
             if answer not in ("", "gone"):
                 return answer
-            found = found or answer
-        return found
+            fallback = fallback or answer
+        return fallback
 
-    async def _ask_peer(self, port: int, what: str, request: str) -> str:
-        path, within = f"{INTERNAL}{what}/{request}", LEAVE_WITHIN if what == "leave" else PEER_WITHIN
+    async def _call_peer(self, port: int, operation: str, request_id: str) -> str:
+        path, timeout = (
+            f"{INTERNAL_PATH}{operation}/{request_id}",
+            LEAVE_TIMEOUT if operation == "leave" else PEER_TIMEOUT,
+        )
         try:
-            _, body = await wire.call(f"127.0.0.1:{port}", "POST", path, within=within)
+            _, body = await wire.call(f"127.0.0.1:{port}", "POST", path, within=timeout)
             return body.decode()
-        except TimeoutError:  # it may count this call as one that waits when it comes to it
-            if what == "wait":
-                self.tasks.create_task(self._ask_peer(port, "leave", request))
+        except TimeoutError:  # a suspended engine may still count this call as waiting later
+            if operation == "wait":
+                self.tasks.create_task(self._call_peer(port, "leave", request_id))
         except OSError:
             pass
         return ""
 
-    async def _peer(self, server: Server, asked: Asked) -> bool:
-        """A question of another engine about a state that is, or was, held here."""
-        what, _, request = asked.path.removeprefix(INTERNAL).partition("/")
-        answer = "gone" if request in self.read else ""
-        if what == "wait" and request not in self.held:
-            self.read.discard(request)  # told once; a later call has no state and reads the prompt itself
-        if request in self.held:
+    async def _handle_peer_call(self, server: Server, http_request: Asked) -> bool:
+        """Answers another engine's call about a state that is, or was, held here."""
+        operation, _, request_id = http_request.path.removeprefix(INTERNAL_PATH).partition("/")
+        answer = "gone" if request_id in self.prefilled else ""
+        if operation == "wait" and request_id not in self.held_states:
+            # "gone" is answered once; a later decode call needs no state and prefills the prompt itself.
+            self.prefilled.discard(request_id)
+        if request_id in self.held_states:
             answer = "held"
-            if what in ("wait", "leave"):
-                self.held[request] = max(self.held[request] + (1 if what == "wait" else -1), 0)
-            elif what == "take" or not self.held[request]:
-                del self.held[request]
-                answer = "taken" if what == "take" else "released"
-                self.put(answer, request)
+            if operation in ("wait", "leave"):
+                self.held_states[request_id] = max(
+                    self.held_states[request_id] + (1 if operation == "wait" else -1), 0
+                )
+            elif operation == "take" or not self.held_states[request_id]:
+                del self.held_states[request_id]
+                answer = "taken" if operation == "take" else "released"
+                self._record_event(answer, request_id)
         server.whole(200, answer.encode(), {"connection": "close"})
         return False
 
 
 async def serve(spec: EngineSpec) -> None:
-    """Serves until the process is ended."""
+    """Serves until the process is killed."""
     async with asyncio.TaskGroup() as tasks:
         engine = Engine(spec, Record(spec.record), tasks)
-        server = await asyncio.start_server(engine.connection, "127.0.0.1", spec.port, backlog=512)
+        server = await asyncio.start_server(engine.serve_connection, "127.0.0.1", spec.port, backlog=512)
         print("ready", flush=True)
         await server.serve_forever()
 
--- a/lifthead/standins/faults/settings.py
+++ b/lifthead/standins/faults/settings.py
@@ -1,46 +1,53 @@
-"""The deployment that the fault stand-ins play: its settings in the platform's form, and its time limits."""
+"""The simulated deployment: its settings in the platform's format, and its time limits."""
 
 from typing import Any
 
 MILLISECOND = 1000  # microseconds
 SECOND = 1_000_000
-LET_GO_BY = 300 * MILLISECOND
-HELD_SLACK = 300 * MILLISECOND  # what the platform allows beyond LET_GO_BY
+RELEASE_DEADLINE = 300 * MILLISECOND
+RELEASE_SLACK = 300 * MILLISECOND  # what the platform allows beyond RELEASE_DEADLINE
 DRAIN_GRACE = 1 * SECOND
-PREFILL, DECODE = "P", "D"  # kinds of engines
-SAFE, UNSAFE, KEYED = "ask", "pay", "key"  # request classes, by what a second run does
+PREFILL, DECODE = "P", "D"  # engine kinds
+# The request classes, named by the effect of a second run.
+IDEMPOTENT, NON_IDEMPOTENT, WITH_IDEMPOTENCY_KEY = "ask", "pay", "key"
 ZONES = ("a", "b")
-MAX_ATTEMPTS = 4  # of one request, its prefills among them
-SHORT_PROMPT, LONG_PROMPT = 200, 5000  # tokens, on either side of the routers' threshold
+MAX_ATTEMPTS = 4  # of one request, including its prefills
+SHORT_PROMPT, LONG_PROMPT = 200, 5000  # tokens, below and above the threshold for conditional disaggregation
 
 
-def settings(zone: str, routers: int, deadline: float = 0.0) -> dict[str, Any]:
-    """What a router of this zone is configured with. `deadline`: of all classes, seconds; 0: the usual."""
-    told = _settings(zone, routers)
-    for grade in told["Grades"] if deadline else ():
-        grade["Deadline"] = int(deadline * SECOND)
-        grade["Target"] = min(grade["Target"], grade["Deadline"])
-    return told
+def router_settings(zone: str, routers: int, deadline: float = 0.0) -> dict[str, Any]:
+    """Returns the settings of a router in this zone.
 
+    `deadline` is the deadline of all request classes in seconds; 0 keeps the default of each class.
+    """
+    settings = _base_settings(zone, routers)
+    for request_class in settings["Grades"] if deadline else ():
+        request_class["Deadline"] = int(deadline * SECOND)
+        request_class["Target"] = min(request_class["Target"], request_class["Deadline"])
+    return settings
 
-def _settings(zone: str, routers: int) -> dict[str, Any]:
+
+def _base_settings(zone: str, routers: int) -> dict[str, Any]:
     return {
         "Dcs": list(ZONES),
         "Family": "twostage",
         "FamilyInfo": {
             "AimUsPer1000PromptTokens": [40000.0, 40000.0],
             "KvTokens": [400000, 200000],
-            "LetGoBy": LET_GO_BY,
+            "LetGoBy": RELEASE_DEADLINE,
             "LocalRead": True,
             "RoleByKind": ["read", "write"],
             "TokenAim": [60000.0, 80000.0],
         },
         "Flavors": [PREFILL, DECODE],
         "Grades": [
-            {"Name": SAFE, "Effect": "safe", "Target": 1500000, "Deadline": 7500000, "Worth": 3.0},
-            {"Name": UNSAFE, "Effect": "unsafe", "Target": 2500000, "Deadline": 12000000, "Worth": 2.0},
+            {"Name": IDEMPOTENT, "Effect": "safe", "Target": 1500000, "Deadline": 7500000, "Worth": 3.0},
+            {
+                "Name": NON_IDEMPOTENT, "Effect": "unsafe",
+                "Target": 2500000, "Deadline": 12000000, "Worth": 2.0,
+            },
             {
-                "Name": KEYED, "Effect": "keyed", "Group": "zone", "KeyTtl": 3000000,
+                "Name": WITH_IDEMPOTENCY_KEY, "Effect": "keyed", "Group": "zone", "KeyTtl": 3000000,
                 "Target": 1500000, "Deadline": 7500000, "Worth": 2.0,
             },
         ],
--- a/lifthead/standins/faults/shim/sitecustomize.py
+++ b/lifthead/standins/faults/shim/sitecustomize.py
@@ -1,8 +1,8 @@
-"""Loaded by a router process under test before anything else (PYTHONPATH): makes system calls fail, and steps
-the wall clock, as the environment tells.
+"""Makes system calls fail and steps the wall clock of a router process under test.
 
-LIFTHEAD_SHIM_FAILS="send:ENOBUFS:7,recv:ETIMEDOUT:20" makes the 7th send and the 20th receive fail so.
-LIFTHEAD_SHIM_STEP="1.5:3600" steps the wall clock by an hour 1.5 s after the start.
+Python imports this module at startup when its directory is on PYTHONPATH. Two variables control it:
+LIFTHEAD_SHIM_FAILS="send:ENOBUFS:7,recv:ETIMEDOUT:20" makes the 7th send and the 20th receive fail with these
+errors, and LIFTHEAD_SHIM_STEP="1.5:3600" steps the wall clock by an hour 1.5 s after the start.
 """
 
 import errno
@@ -10,38 +10,38 @@
 import socket
 import time
 
-SITES = ("accept", "connect", "send", "recv")
+SOCKET_METHODS = ("accept", "connect", "send", "recv")
 
 
-def _make_fail(site: str, error: int, call: int) -> None:
-    """Has one call of this method of sockets fail, the others go through."""
-    sound = getattr(socket.socket, site)
+def _fail_nth_call(method: str, error: int, nth: int) -> None:
+    """Makes the n-th call of this socket method fail; the other calls go through."""
+    original = getattr(socket.socket, method)
     calls = 0
 
-    def failing(self, *args):
+    def counting_call(self, *args):
         nonlocal calls
         calls += 1
-        if calls == call:
+        if calls == nth:
             raise OSError(error, os.strerror(error))
-        return sound(self, *args)
+        return original(self, *args)
 
-    setattr(socket.socket, site, failing)
+    setattr(socket.socket, method, counting_call)
 
 
-def _step_clock(after: float, by: float) -> None:
-    """Steps the wall clock by so many seconds, so many seconds from now."""
-    sound, due_at = time.time_ns, time.monotonic() + after
+def _step_clock(delay: float, step: float) -> None:
+    """Steps the wall clock by `step` seconds, `delay` seconds from now."""
+    original, due_at = time.time_ns, time.monotonic() + delay
 
-    def stepped() -> int:
-        return sound() + (int(by * 1e9) if time.monotonic() >= due_at else 0)
+    def stepped_time_ns() -> int:
+        return original() + (int(step * 1e9) if time.monotonic() >= due_at else 0)
 
-    time.time_ns = stepped
-    time.time = lambda: stepped() / 1e9
+    time.time_ns = stepped_time_ns
+    time.time = lambda: stepped_time_ns() / 1e9
 
 
 for each in filter(None, os.environ.get("LIFTHEAD_SHIM_FAILS", "").split(",")):
     name, error_name, number = each.split(":")
-    assert name in SITES, name
-    _make_fail(name, getattr(errno, error_name), int(number))
-if told := os.environ.get("LIFTHEAD_SHIM_STEP"):
-    _step_clock(*map(float, told.split(":")))
+    assert name in SOCKET_METHODS, name
+    _fail_nth_call(name, getattr(errno, error_name), int(number))
+if step := os.environ.get("LIFTHEAD_SHIM_STEP"):
+    _step_clock(*map(float, step.split(":")))
--- a/tests/runs.py
+++ b/tests/runs.py
@@ -8,7 +8,7 @@
     much has no verdict and is repeated; the last one is returned in any case. `play` makes the n-th run."""
     for number in range(MAX_RUNS):
         result = await play(number)
-        if not result.refused:
+        if not result.inconclusive:
             break
         print(f"no verdict: {result}")
     return result
--- a/tests/test_daemon_faults.py
+++ b/tests/test_daemon_faults.py
@@ -1,4 +1,4 @@
-"""The daemon's processes with faults on the way to their engines: held states and final answers."""
+"""Daemon processes with network faults between them and their engines: held states and final answers."""
 
 import asyncio
 import time
@@ -10,13 +10,13 @@
 from lifthead.standins.faults.proxy import Fault, FaultProxy
 from lifthead.standins.record import Record, lines
 
-PROMPT = "fuel card " * 2500  # over the threshold: read by the prefill engine
+PROMPT = "fuel card " * 2500  # over the disaggregation threshold, so a prefill engine takes it
 REQUESTS = 12
-EVERY = 0.05  # seconds
-BUDGET = 2.0  # seconds, the deadline of the group
-LATE = 0.5  # seconds for a final answer to be read on a busy machine
-SETTLES = 1.0  # seconds after the last answer
-RELEASED_WITHIN = 1_500_000  # microseconds from the last answer: the time allowed, closes that are seen late
+REQUEST_INTERVAL = 0.05  # seconds
+BUDGET = 2.0  # seconds, the deadline of the request class
+ANSWER_SLACK = 0.5  # seconds by which a busy machine may read a final answer late
+SETTLE_TIME = 1.0  # seconds after the last answer
+RELEASED_WITHIN = 1_500_000  # microseconds after the last answer, including closes that are seen late
 
 BROKEN_CALLS = [
     (Fault.HANG, ["wr"]),
@@ -30,8 +30,8 @@
 ]
 
 
-async def play(tmp_path, faults):
-    """Plays the faults one after the other on one fleet; the statuses and times of each one's requests."""
+async def run_faults(tmp_path, faults):
+    """Runs the faults one after the other on one fleet; returns each one's request statuses and durations."""
     answers = {}
 
     async def ask(at, text):
@@ -39,36 +39,36 @@
         answer = await send_raw(at, http(body(text, stream=True, max_tokens=8)), within=BUDGET + 5)
         return int(answer.split()[1]) if answer else 0, time.monotonic() - began
 
-    async with Processes(tmp_path) as stage, AsyncExitStack() as stack:
-        record, proxies, listed = Record(tmp_path / "proxies.jsonl"), {}, []
-        for name, said in stage.engines.items():
-            port = int(said["address"].rpartition(":")[2])
+    async with Processes(tmp_path) as fleet, AsyncExitStack() as stack:
+        record, proxies, engine_lines = Record(tmp_path / "proxies.jsonl"), {}, []
+        for name, engine in fleet.engines.items():
+            port = int(engine["address"].rpartition(":")[2])
             proxy = proxies[name] = FaultProxy("r", name, port, record)
             await proxy.start()
             stack.push_async_callback(proxy.close)
             kind = "reader" if name == "rd" else "writer"
-            listed.append(
+            engine_lines.append(
                 f'engine("{name}", zone = "a", kind = "{kind}", address = "127.0.0.1:{proxy.port}")\n'
             )
-        (tmp_path / "engines.star").write_text("".join(listed))
-        stage.engine_file = tmp_path / "engines.star"
-        await stage.restart({"name": "r"})
-        at = address(stage)
+        (tmp_path / "engines.star").write_text("".join(engine_lines))
+        fleet.engine_file = tmp_path / "engines.star"
+        await fleet.restart({"name": "r"})
+        at = address(fleet)
         for fault, names in faults:
             await asyncio.gather(*(ask(at, f"{fault} warm {number}") for number in range(8)))
             await asyncio.gather(*(proxies[name].begin(fault) for name in names))
-            asked = []
+            tasks = []
             for number in range(REQUESTS):
-                asked.append(asyncio.create_task(ask(at, f"{fault} {number} {PROMPT}")))
-                await asyncio.sleep(EVERY)
-            answers[fault] = await asyncio.gather(*asked)
-            await asyncio.sleep(SETTLES)
+                tasks.append(asyncio.create_task(ask(at, f"{fault} {number} {PROMPT}")))
+                await asyncio.sleep(REQUEST_INTERVAL)
+            answers[fault] = await asyncio.gather(*tasks)
+            await asyncio.sleep(SETTLE_TIME)
             await asyncio.gather(*(proxies[name].end(fault) for name in names))
     return answers
 
 
-def kept_too_long(path):
-    """States that neither a decode call took nor a release freed; the engine's own limit ended them."""
+def unreleased_states(path):
+    """Returns the states that no decode call took and no release freed in time."""
     states = {}
     for line in lines(path / "engine-rd.jsonl"):
         if line["ev"] == "held":
@@ -81,11 +81,11 @@
 
 
 def test_states_are_released_and_requests_answered_whatever_happens_to_decode_calls(tmp_path):
-    answers = run(play(tmp_path, BROKEN_CALLS))
-    assert not kept_too_long(tmp_path)
-    for fault, found in answers.items():
-        assert all(status in (200, 502, 503, 504) for status, _ in found), (fault, found)
-        assert all(took < BUDGET + LATE for _, took in found), (fault, found)
-        assert sum(status == 200 for status, _ in found) >= REQUESTS // 2, (fault, found)
+    answers = run(run_faults(tmp_path, BROKEN_CALLS))
+    assert not unreleased_states(tmp_path)
+    for fault, results in answers.items():
+        assert all(status in (200, 502, 503, 504) for status, _ in results), (fault, results)
+        assert all(duration < BUDGET + ANSWER_SLACK for _, duration in results), (fault, results)
+        assert sum(status == 200 for status, _ in results) >= REQUESTS // 2, (fault, results)
     text = (tmp_path / "log-r.jsonl").read_text()
     assert "invariant violated" not in text and "Traceback" not in text
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -1,5 +1,5 @@
-"""The short form of the randomized fault soak, its schedules, and the checker that judges it. The long form
-is `python -m lifthead.standins.faults.soak --seeds 50`."""
+"""Tests a short randomized fault soak, its schedules and its checker. The long soak is
+`python -m lifthead.standins.faults.soak --seeds 50`."""
 
 import asyncio
 from pathlib import Path
@@ -8,61 +8,64 @@
 from runs import run_until_judged
 
 from lifthead.standins.faults import settings
-from lifthead.standins.faults.checker import breaches
+from lifthead.standins.faults.checker import find_breaches
 from lifthead.standins.faults.proxy import Fault
-from lifthead.standins.faults.schedule import CROWD_SOCKETS, SOCKETS, Action, draw
-from lifthead.standins.faults.soak import play
+from lifthead.standins.faults.schedule import LOW_SOCKET_LIMIT, SOCKET_LIMIT, Action, draw_schedule
+from lifthead.standins.faults.soak import run_schedule
 
 SECOND = 1_000_000
 
 
-@pytest.mark.parametrize("seed", [2, 5, 16, 117, 140])  # each showed a fault of ours, or of the oracle, once
+# These seeds once failed, through a fault of the router or of the checker.
+@pytest.mark.parametrize("seed", [2, 5, 16, 117, 140])
 def test_no_rule_is_broken_while_faults_overlap(seed, tmp_path):
     source = Path(__file__).parent.parent
-    result = asyncio.run(run_until_judged(lambda number: play(draw(seed), tmp_path / str(number), source)))
-    assert result.passed and not result.refused, str(result)
+    result = asyncio.run(
+        run_until_judged(lambda number: run_schedule(draw_schedule(seed), tmp_path / str(number), source))
+    )
+    assert result.passed and not result.inconclusive, str(result)
     assert result.processes >= 10 and result.outcomes["whole"] > sum(result.outcomes.values()) / 2
 
 
 def test_seeds_draw_every_condition():
-    conditions = [draw(seed).conditions for seed in range(60)]
+    conditions = [draw_schedule(seed).conditions for seed in range(60)]
     assert min(each.deadline for each in conditions) < 0.6 and max(each.deadline for each in conditions) > 4
     assert any(each.sees_close_after > 0.2 for each in conditions)
     assert any(each.slow_share > 0.1 for each in conditions)
     assert any(each.misbehaves > 0.1 for each in conditions)
-    assert {each.sockets for each in conditions} == {CROWD_SOCKETS, SOCKETS}
-    assert all(1.0 < each.killed_after <= 3.7 for each in conditions)
-    assert any(timed.resident >= 0 for timed in draw(1).requests)
+    assert {each.sockets for each in conditions} == {LOW_SOCKET_LIMIT, SOCKET_LIMIT}
+    assert all(1.0 < each.sigkill_after <= 3.7 for each in conditions)
+    assert any(scheduled.persistent_client >= 0 for scheduled in draw_schedule(1).requests)
 
 
 def test_a_seed_gives_the_same_schedule_each_time_and_another_seed_another():
-    assert draw(3) == draw(3) != draw(4)
+    assert draw_schedule(3) == draw_schedule(3) != draw_schedule(4)
 
 
 def test_seeds_draw_every_fault_overlapping_and_after_a_quiet_time():
-    schedules = [draw(seed) for seed in range(60)]
-    troubles = [trouble for schedule in schedules for trouble in schedule.troubles]
-    assert {trouble.action for trouble in troubles} == set(Action)
-    assert {trouble.fault for trouble in troubles if trouble.fault} == set(Fault)
+    schedules = [draw_schedule(seed) for seed in range(60)]
+    faults = [fault for schedule in schedules for fault in schedule.faults]
+    assert {fault.action for fault in faults} == set(Action)
+    assert {fault.fault for fault in faults if fault.fault} == set(Fault)
     assert any(
-        one.at < other.at < one.at + one.lasts
+        one.at < other.at < one.at + one.duration
         for schedule in schedules
-        for one in schedule.troubles
-        for other in schedule.troubles
+        for one in schedule.faults
+        for other in schedule.faults
         if one is not other
     )
-    assert max(schedule.troubles[0].at for schedule in schedules) > 2.5
+    assert max(schedule.faults[0].at for schedule in schedules) > 2.5
     assert all(10 <= schedule.size.processes <= 40 for schedule in schedules)
 
 
-# The checker, on records made by hand: times are microseconds from 0.
+# The checker, on handwritten records. Times are in microseconds from 0.
 
 
 def line(at, event, **fields):
     return {"t": at, "ev": event, **fields}
 
 
-def asked(at=0, qos=settings.SAFE, budget=5 * SECOND):
+def asked(at=0, qos=settings.IDEMPOTENT, budget=5 * SECOND):
     return line(at, "asked", request="r", router="n0", qos=qos, budget=budget, whole=True, prompt=5000)
 
 
@@ -81,7 +84,7 @@
 PREFILLED = [
     asked(),
     on_connection(1, "opened", "p0") | {"port": 7},
-    at_engine(2, "arrived", "p0", port=7, qos=settings.SAFE),
+    at_engine(2, "arrived", "p0", port=7, qos=settings.IDEMPOTENT),
     at_engine(100_000, "held", "p0", port=7),
     at_engine(100_001, "over", "p0", port=7),
     on_connection(100_002, "delivered", "p0"),
@@ -89,11 +92,11 @@
 
 
 def rules(*lines):
-    return [breach.rule for breach in breaches([*PREFILLED, *lines])]
+    return [breach.rule for breach in find_breaches([*PREFILLED, *lines])]
 
 
 def arrived(at, engine="d0", port=8):
-    return at_engine(at, "arrived", engine, port=port, qos=settings.SAFE)
+    return at_engine(at, "arrived", engine, port=port, qos=settings.IDEMPOTENT)
 
 
 @pytest.mark.parametrize(("at", "broken"), [(600_000, []), (900_000, [5])])
@@ -106,7 +109,7 @@
     arrives = at_engine(300_000, "release_arrived", "d0")
     assert rules(arrives, answered(2 * SECOND)) == [5]
     assert rules(arrives, at_engine(300_001, "released", "p0"), answered(2 * SECOND)) == []
-    stopped = line(200_000, "signal", name="p0", signal="SIGSTOP")  # its holder will say so when it goes on
+    stopped = line(200_000, "signal", name="p0", signal="SIGSTOP")  # the holder records it when it continues
     assert rules(stopped, arrives, answered(2 * SECOND)) == []
 
 
@@ -160,10 +163,10 @@
     assert rules(*claimed, answered(SECOND)) == [2]
 
 
-@pytest.mark.parametrize(("qos", "broken"), [(settings.SAFE, []), (settings.UNSAFE, [2])])
+@pytest.mark.parametrize(("qos", "broken"), [(settings.IDEMPOTENT, []), (settings.NON_IDEMPOTENT, [2])])
 def test_an_unsafe_request_that_runs_twice_is_a_breach(qos, broken):
     runs = [at_engine(at, "ran", engine, qos=qos) for at, engine in ((1, "d0"), (2, "d1"))]
-    assert [breach.rule for breach in breaches([asked(qos=qos), *runs, answered(3)])] == broken
+    assert [breach.rule for breach in find_breaches([asked(qos=qos), *runs, answered(3)])] == broken
 
 
 @pytest.mark.parametrize(
@@ -172,19 +175,19 @@
 )
 def test_a_final_answer_is_owed_in_the_budget(outcome, at, broken):
     lines = [asked(), answered(int(at * SECOND), outcome)]
-    assert [breach.rule for breach in breaches(lines)] == broken
+    assert [breach.rule for breach in find_breaches(lines)] == broken
 
 
 def test_what_is_sent_after_the_end_is_a_breach():
     sent = on_connection(2 * SECOND, "sent", "d0") | {"request": "r"}
-    assert [breach.rule for breach in breaches([asked(), answered(SECOND), sent])] == [1]
+    assert [breach.rule for breach in find_breaches([asked(), answered(SECOND), sent])] == [1]
 
 
 @pytest.mark.parametrize(("after", "broken"), [(1.2, []), (1.4, [3])])
 def test_a_draining_engine_gets_nothing_after_the_grace(after, broken):
     told = line(SECOND, "told", router="n0", version=2, states={"d0": "draining"})
     sent = on_connection(int((1 + after) * SECOND), "sent", "d0") | {"request": "r"}
-    assert [breach.rule for breach in breaches([asked(), told, sent, answered(4 * SECOND)])] == broken
+    assert [breach.rule for breach in find_breaches([asked(), told, sent, answered(4 * SECOND)])] == broken
 
 
 @pytest.mark.parametrize(("asked_at", "broken"), [(0, []), (1.6, []), (1.8, [1])])
@@ -192,7 +195,7 @@
     stopping = line(SECOND, "stopping", name="n0")
     killed = line(4 * SECOND, "killed", name="n0", planned=True)
     lines = [asked(int(asked_at * SECOND)), stopping, killed, answered(4 * SECOND + 1, "closed")]
-    assert [breach.rule for breach in breaches(lines)] == broken
+    assert [breach.rule for breach in find_breaches(lines)] == broken
 
 
 def test_a_state_for_which_a_killed_engine_waited_is_no_verdict():
