--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -350,8 +350,8 @@
             if (engines and not restart) or (chosen_routers and not restart_router):
                 raise ValueError("expected --restart for engines and --restart-router for routers")
             plan = Plan(
-                engines, chosen_routers, floor, at_once, int(parse_duration(limit)) if limit else 0, pause_over,
-                int(parse_duration(back_within)),
+                engines, chosen_routers, floor, at_once, int(parse_duration(limit)) if limit else 0,
+                pause_over, int(parse_duration(back_within)),
             )  # fmt: skip
             if why := refusal(plan, facts):
                 raise ValueError(why)
--- a/lifthead/engines/listing.py
+++ b/lifthead/engines/listing.py
@@ -36,12 +36,14 @@
                     try:
                         update = parse_list_update(line)
                     except ProtocolError as problem:
-                        log.warning("malformed engine list: the last one stays", said=str(problem)[:200])
+                        log.warning(
+                            "the list of engines is malformed: the last one stays", said=str(problem)[:200]
+                        )
                         continue
                     on_update(update)
                     delay = RETRY_DELAY
         except (OSError, HttpError) as problem:
-            log.warning("engine list unavailable: the last one stays", said=str(problem)[:200])
+            log.warning("the list of engines can't be followed: the last one stays", said=str(problem)[:200])
         finally:
             if writer:
                 with contextlib.suppress(OSError):
--- a/lifthead/ledger/keeper.py
+++ b/lifthead/ledger/keeper.py
@@ -58,7 +58,7 @@
         self._disk_lock = asyncio.Lock()
         self._latest_time = journal.book.latest_time
         if journal.missing:
-            log.error("entries are missing from the ledger", missing=journal.missing)
+            log.error("the ledger has lost entries", missing=journal.missing)
 
     def now(self) -> int:
         """Wall clock in microseconds, which never goes back within a ledger."""
@@ -177,7 +177,7 @@
         if planned is None:
             return False
         if manifest["rows"] and not await export.deliver(self.terms.export_to, data, manifest):
-            self._log.warning("batch not accepted, it is sent again", batch=planned.id)
+            self._log.warning("a batch did not land: it is sent again", batch=planned.id)
             return False
         async with self._disk_lock:
             await asyncio.to_thread(record_delivery, self.journal, planned, self.now())
--- a/lifthead/members/watch.py
+++ b/lifthead/members/watch.py
@@ -41,13 +41,13 @@
         await asyncio.sleep(SETTLE_S)
         if data is None:
             if not logged_missing:
-                log.warning("engine file can't be read, keeping the last list", path=str(path))
+                log.warning("the file of engines can't be read: the last view stays", path=str(path))
             logged_missing = True
         elif data != last and data == await asyncio.to_thread(read_file, path):
             last, logged_missing = data, False
             try:
                 on_text(data.decode())
             except UnicodeDecodeError:
-                log.warning("engine file is not UTF-8, keeping the last list", path=str(path))
+                log.warning("the file of engines is not UTF-8: the last view stays", path=str(path))
         if data is None or data == last:
             await anext(changes)
--- a/lifthead/node/discovery.py
+++ b/lifthead/node/discovery.py
@@ -92,7 +92,7 @@
             problems.append(f"{bytes(raw_target)!r:.60}: {error}")
     if problems:
         log.warning(
-            "list version %d: %d malformed entries, the first: %s",
+            "version %d has %d odd entries, the first: %s",
             message.rev,
             len(problems),
             problems[0][:200],
