--- a/examples/bad-day.star
+++ b/examples/bad-day.star
@@ -1,4 +1,4 @@
-# Three routers, twelve engines, some 10,000 reqs, and troubles that overlap.
+# Three routers, twelve engines, about 10,000 requests and overlapping faults.
 # `lifthead day examples/bad-day.star --seed 1 --out DIR`
 
 rules(drain_grace = "250ms", let_go_within = "500ms", cold_share = 0.25, warm_within = "8s",
@@ -36,7 +36,7 @@
     mix(group = "top-up", share = 0.1, new_tokens = 600, max_tokens = 24, beginning_share = 0.5, turns = 2),
 ])
 
-trouble("crash", at = "10s", lasts = "6s", engines = ["cell:1"])              # a rack restarts, and comes back cold
+trouble("crash", at = "10s", lasts = "6s", engines = ["cell:1"])              # the cell restarts with cold engines
 trouble("lost", at = "20s", lasts = "20s", part = 0.15, engines = ["write-0-0", "write-2-1", "read-2-0"])
 trouble("router_kill", at = "28s", lasts = "2s", routers = ["router-south"])
 trouble("flood", at = "35s", lasts = "12s", times = 1.0, tenant = "kiosk")
--- a/examples/bad-minute.star
+++ b/examples/bad-minute.star
@@ -1,4 +1,4 @@
-# Three routers, twelve engines, a short one of the same kind for CI.
+# Three routers and twelve engines: a short version of bad-day.star for CI.
 # `lifthead day examples/bad-minute.star --seed 1 --out DIR`
 
 rules(drain_grace = "250ms", let_go_within = "500ms", cold_share = 0.25, warm_within = "8s",
--- a/examples/kill-streams.star
+++ b/examples/kill-streams.star
@@ -1,4 +1,4 @@
-# A thousand long streams over writers that are killed, silenced, reset and woken at random.
+# A thousand long streams on decode engines that are killed, go silent or reset connections at random.
 # `lifthead day examples/kill-streams.star --seed 1 --out DIR`
 
 rules(drain_grace = "250ms", let_go_within = "500ms", warm_within = "2s", max_forwards = 5)
--- a/examples/quiet.star
+++ b/examples/quiet.star
@@ -1,4 +1,4 @@
-# A small fleet in two zones and a quiet half minute. `lifthead day examples/quiet.star --seed 1 --out DIR`
+# A small fleet in two zones for half a minute without faults. `lifthead day examples/quiet.star --seed 1 --out DIR`
 
 rules(drain_grace = "250ms", let_go_within = "500ms", cold_share = 0.25, warm_within = "6s",
       tip_multiple = 2.5, overload_for = "1.5s", max_forwards = 5, max_hold_off = "500ms")
--- a/examples/roll.star
+++ b/examples/roll.star
@@ -1,5 +1,5 @@
-# Three routers and twelve engines are restarted in turn under load: drained before, cold after.
-# `lifthead day examples/roll.star --seed 1 --out DIR`; benchmarks/rolls.py plays it beside a naive restart.
+# A rolling restart of three routers and twelve engines under load; engines are drained and come back cold.
+# `lifthead day examples/roll.star --seed 1 --out DIR`; benchmarks/rolls.py compares it with a naive restart.
 
 rules(drain_grace = "250ms", let_go_within = "500ms", cold_share = 0.25, warm_within = "4s",
       tip_multiple = 2.5, overload_for = "1.5s", max_forwards = 5, max_hold_off = "500ms")
--- a/examples/uneven.star
+++ b/examples/uneven.star
@@ -1,5 +1,6 @@
-# Two zones with as many engines, and five times the clients in one: its readers drown beside idle ones. Load is told
-# only when asked, and each router sends less than a req a second. `lifthead lab run examples/uneven.star`
+# Two zones with equally many engines, one with five times the clients: its prefill engines are overloaded while those
+# of the other zone are idle. Engines report load only when probed, and each router sends less than a request a second.
+# `lifthead lab run examples/uneven.star`
 
 rules(drain_grace = "250ms", let_go_within = "500ms", cold_share = 0.25, warm_within = "6s",
       tip_multiple = 2.5, overload_for = "1.5s", max_forwards = 5, max_hold_off = "500ms", probes = True)
