--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -1,7 +1,7 @@
-"""Baselines that take the decision module's place: round robin and random choice, on the same host.
+"""Baselines that replace the decision module on the same host: round robin and random choice.
 
-`python -m benchmarks.baselines random serve ...` takes the options of `lifthead serve`. They keep rule 2 and
-the budget, and nothing else that the module guards.
+`python -m benchmarks.baselines random serve ...` takes the options of `lifthead serve`. The baselines keep
+rule 2 and the client's budget, and no other rule of the decision module.
 """
 
 import asyncio
@@ -14,8 +14,8 @@
 from lifthead.interface import AttemptOutcome, Idempotency
 
 
-class Known:
-    """What the admin view shows of an engine."""
+class EngineState:
+    """The state of an engine, with the attributes that the admin view shows."""
 
     def __init__(self, entry, role):
         self.name, self.zone, self.cell, self.role, self.ready = (
@@ -32,19 +32,19 @@
 
 
 class Baseline:
-    """Prompts under 4,096 tokens to any writer, longer ones to any reader, then any writer."""
+    """Sends short prompts to any decode engine, longer ones (4,096 tokens) to a prefill engine first."""
 
     def __init__(self, host, deployment):
         self.host, self.deployment = host, deployment
-        self.chance = random.Random(deployment.seed)
-        self.engines, self.reqs, self.turn = {}, {}, 0
+        self.rng = random.Random(deployment.seed)
+        self.engines, self.requests, self.next_index = {}, {}, 0
 
     def on_engine_list(self, entries, whole_list):
         for entry in entries:
-            known = self.engines.setdefault(
-                entry.engine, Known(entry, self.deployment.role_by_kind[entry.kind])
+            engine = self.engines.setdefault(
+                entry.engine, EngineState(entry, self.deployment.role_by_kind[entry.kind])
             )
-            known.ready = entry.readiness == "ready"
+            engine.ready = entry.readiness == "ready"
 
     def on_engine_list_unavailable(self):
         pass
@@ -52,79 +52,93 @@
     def pick(self, names):
         raise NotImplementedError
 
-    def on_request(self, demand):
-        effect = self.deployment.request_classes[demand.request_class].idempotency
-        req = self.reqs[demand.id] = {
-            "demand": demand, "effect": effect, "forwards": 0, "out": None, "state": False, "over": False,
-            "due": self.host.now() + demand.budget, "begun": False,
-        }  # fmt: skip
-        self.host.set_timer(max(demand.budget - self.deployment.tick, 1), demand.id)
-        self.route(req)
-
-    def route(self, req):
-        demand = req["demand"]
-        reads = demand.prompt_tokens >= 4096 and not req["state"]
-        names = sorted(e.name for e in self.engines.values() if e.ready and (e.role == "read") == reads)
-        if not names or req["forwards"] >= self.deployment.max_attempts or self.host.now() >= req["due"]:
-            return self.end(req, aborted=False)
-        req["out"], req["reads"] = req["forwards"], reads
-        req["forwards"] += 1
-        return self.host.start_attempt(demand.id, self.pick(names), req["due"], req["due"])
-
-    def end(self, req, aborted):
-        req["over"] = True
-        at = req["demand"].id
-        if aborted:
-            self.host.fail(at)
+    def on_request(self, spec):
+        idempotency = self.deployment.request_classes[spec.request_class].idempotency
+        request = self.requests[spec.id] = {
+            "spec": spec,
+            "idempotency": idempotency,
+            "attempts": 0,
+            "in_flight": None,
+            "has_state": False,
+            "ended": False,
+            "deadline": self.host.now() + spec.budget,
+            "streaming": False,
+        }
+        self.host.set_timer(max(spec.budget - self.deployment.tick, 1), spec.id)
+        self.route(request)
+
+    def route(self, request):
+        spec = request["spec"]
+        is_prefill = spec.prompt_tokens >= 4096 and not request["has_state"]
+        names = sorted(
+            engine.name
+            for engine in self.engines.values()
+            if engine.ready and (engine.role == "read") == is_prefill
+        )
+        if (
+            not names
+            or request["attempts"] >= self.deployment.max_attempts
+            or self.host.now() >= request["deadline"]
+        ):
+            return self.finish(request, failed=False)
+        request["in_flight"], request["is_prefill"] = request["attempts"], is_prefill
+        request["attempts"] += 1
+        return self.host.start_attempt(spec.id, self.pick(names), request["deadline"], request["deadline"])
+
+    def finish(self, request, failed):
+        request["ended"] = True
+        request_id = request["spec"].id
+        if failed:
+            self.host.fail(request_id)
         else:
-            self.host.reject(at, 100_000)
-        self.let_go(req)
-
-    def let_go(self, req):
-        at = req["demand"].id
-        if req["out"] is not None and not req["begun"]:
-            self.host.cancel_attempt(at, req["out"])
-        self.host.release_state(at)
-        if req["out"] is None:
-            self.reqs.pop(at, None)
-
-    def on_first_token(self, req_id, number, took, streamed=True):
-        if req_id in self.reqs:
-            self.reqs[req_id]["begun"], self.reqs[req_id]["state"] = streamed, False
-
-    def on_attempt_ended(self, req_id, number, name, ending, took, note, final, report):
-        req = self.reqs.get(req_id)
-        if req is None:
+            self.host.reject(request_id, 100_000)
+        self.release(request)
+
+    def release(self, request):
+        request_id = request["spec"].id
+        if request["in_flight"] is not None and not request["streaming"]:
+            self.host.cancel_attempt(request_id, request["in_flight"])
+        self.host.release_state(request_id)
+        if request["in_flight"] is None:
+            self.requests.pop(request_id, None)
+
+    def on_first_token(self, request_id, number, duration, streamed=True):
+        if request_id in self.requests:
+            self.requests[request_id]["streaming"], self.requests[request_id]["has_state"] = streamed, False
+
+    def on_attempt_ended(self, request_id, number, name, outcome, duration, note, final, report):
+        request = self.requests.get(request_id)
+        if request is None:
             return None
-        req["out"] = None
-        if final or req["over"] or req["begun"]:
-            self.host.release_state(req_id)
-            del self.reqs[req_id]
+        request["in_flight"] = None
+        if final or request["ended"] or request["streaming"]:
+            self.host.release_state(request_id)
+            del self.requests[request_id]
             return None
-        if ending is AttemptOutcome.PREFILLED:
-            req["state"] = True
-            return self.route(req)
-        if ending is AttemptOutcome.REJECTED and note == 1:
-            req["state"] = False
-        not_run = req["reads"] or ending in (
+        if outcome is AttemptOutcome.PREFILLED:
+            request["has_state"] = True
+            return self.route(request)
+        if outcome is AttemptOutcome.REJECTED and note == 1:
+            request["has_state"] = False
+        safe_to_retry = request["is_prefill"] or outcome in (
             AttemptOutcome.REJECTED,
             AttemptOutcome.UNREACHABLE,
             AttemptOutcome.NOT_SENT,
         )
-        if not_run or req["effect"] is Idempotency.IDEMPOTENT:
-            return self.route(req)
-        return self.end(req, aborted=True)
+        if safe_to_retry or request["idempotency"] is Idempotency.IDEMPOTENT:
+            return self.route(request)
+        return self.finish(request, failed=True)
 
-    def on_client_left(self, req_id):
-        req = self.reqs.get(req_id)
-        if req and not req["over"]:
-            req["over"] = True
-            self.let_go(req)
+    def on_client_left(self, request_id):
+        request = self.requests.get(request_id)
+        if request and not request["ended"]:
+            request["ended"] = True
+            self.release(request)
 
-    def on_timer(self, label):
-        req = self.reqs.get(label)
-        if req and not req["over"] and not req["begun"]:
-            self.end(req, aborted=True)
+    def on_timer(self, key):
+        request = self.requests.get(key)
+        if request and not request["ended"] and not request["streaming"]:
+            self.finish(request, failed=True)
 
     def on_load_report(self, name, report):
         pass
@@ -132,24 +146,31 @@
 
 class RandomChoice(Baseline):
     def pick(self, names):
-        return self.chance.choice(names)
+        return self.rng.choice(names)
 
 
 class RoundRobin(Baseline):
     def pick(self, names):
-        self.turn += 1
-        return names[self.turn % len(names)]
+        self.next_index += 1
+        return names[self.next_index % len(names)]
 
 
-KINDS = {"random": RandomChoice, "round-robin": RoundRobin}
+BASELINES = {"random": RandomChoice, "round-robin": RoundRobin}
 
 
-def main(kind, script, options):
-    given = dict(zip(options[::2], options[1::2], strict=True))
-    asyncio.run(daemon.serve(
-        _read_settings(Path(script)), given["--router"], given.get("--list", ""), Path(given["--run"]),
-        int(given.get("--seed", 1)), daemon.configure_logging(given.get("--log")), KINDS[kind],
-    ))  # fmt: skip
+def main(name, script, options):
+    arguments = dict(zip(options[::2], options[1::2], strict=True))
+    asyncio.run(
+        daemon.serve(
+            _read_settings(Path(script)),
+            arguments["--router"],
+            arguments.get("--list", ""),
+            Path(arguments["--run"]),
+            int(arguments.get("--seed", 1)),
+            daemon.configure_logging(arguments.get("--log")),
+            BASELINES[name],
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -1,4 +1,4 @@
-"""Service of a day with lifthead, round robin and random choice, on the same stand-ins and seed.
+"""Service in a scenario with lifthead, round robin and random choice, on the same stand-ins and seed.
 
 `python -m benchmarks.days [SCRIPT ...] [--seed N]`
 """
@@ -12,21 +12,25 @@
 from lifthead.deployment import script
 from lifthead.standins import day
 
-SERVES = {
+SERVE_COMMANDS = {
     "lifthead": (),
     "round robin": (sys.executable, "-m", "benchmarks.baselines", "round-robin"),
     "random": (sys.executable, "-m", "benchmarks.baselines", "random"),
 }
 
 
-def main(words):
-    seed = int(words[words.index("--seed") + 1]) if "--seed" in words else 1
-    files = [Path(word) for word in words if word.endswith(".star")] or [Path("examples/quiet.star")]
+def main(arguments):
+    seed = int(arguments[arguments.index("--seed") + 1]) if "--seed" in arguments else 1
+    files = [Path(argument) for argument in arguments if argument.endswith(".star")] or [
+        Path("examples/quiet.star")
+    ]
     for file in files:
-        for name, serve in SERVES.items():
-            with tempfile.TemporaryDirectory() as out:
-                summary = asyncio.run(day.run_scenario(script.read(file), file, Path(out), seed, serve))
-            print(json.dumps({"day": file.stem, "seed": seed, "decides": name, **summary}), flush=True)
+        for name, serve_command in SERVE_COMMANDS.items():
+            with tempfile.TemporaryDirectory() as output:
+                summary = asyncio.run(
+                    day.run_scenario(script.read(file), file, Path(output), seed, serve_command)
+                )
+            print(json.dumps({"scenario": file.stem, "seed": seed, "balancer": name, **summary}), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/fast.py
+++ b/benchmarks/fast.py
@@ -1,7 +1,7 @@
-"""Parts of benchmarks/router.py, each a process of its own: a bare engine, a bare byte relay, a load.
+"""Processes of benchmarks/router.py: a minimal engine, a minimal byte relay, a load generator.
 
-The engine answers any POST with `events` events, `gap` seconds apart; it does no work, so that what is
-measured is what lies between it and the client. `python -m benchmarks.fast engine|relay|load JSON`
+The engine answers any POST with `events` events, `gap` seconds apart, and does no other work, so that the
+measurement shows the cost of the router. `python -m benchmarks.fast engine|relay|load JSON`
 """
 
 import asyncio
@@ -21,8 +21,8 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-async def read_req(reader):
-    """One HTTP req with a content-length; False at the end."""
+async def read_request(reader):
+    """Reads one HTTP request with a content-length; False at the end of the connection."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -32,13 +32,13 @@
     return True
 
 
-async def engine(given):
-    events, gap = given["events"], given["gap"]
+async def engine(options):
+    events, gap = options["events"], options["gap"]
 
     async def serve(reader, writer):
         writer.transport.set_write_buffer_limits(high=262_144)
         try:
-            while await read_req(reader):
+            while await read_request(reader):
                 writer.write(HEAD + chunk(EVENT))
                 for _ in range(events - 1):
                     if gap:
@@ -54,9 +54,9 @@
     await listen(serve)
 
 
-async def relay(given):
-    """Bytes in, bytes out, engines in turn: the least that a router of this kind can cost."""
-    engines, turn = given["engines"], [0]
+async def relay(options):
+    """Copies bytes both ways, engines in turn: the least that a router of this kind can cost."""
+    engines, next_index = options["engines"], [0]
 
     async def pump(reader, writer):
         try:
@@ -68,8 +68,8 @@
         writer.close()
 
     async def serve(reader, writer):
-        turn[0] += 1
-        host, _, port = engines[turn[0] % len(engines)].rpartition(":")
+        next_index[0] += 1
+        host, _, port = engines[next_index[0] % len(engines)].rpartition(":")
         upstream_reader, upstream_writer = await asyncio.open_connection(host, int(port))
         await asyncio.gather(pump(reader, upstream_writer), pump(upstream_reader, writer))
 
@@ -82,63 +82,79 @@
     await server.serve_forever()
 
 
-async def load(given):
-    """So many kept connections, which ask `rate` times a second in all, or again at once if rate is 0."""
-    host, _, port = given["address"].rpartition(":")
-    body = json.dumps({
-        "model": "m", "stream": True, "max_tokens": given["tokens"],
-        "messages": [{"role": "user", "content": "why was the card declined at the pump? " * 4}],
-    }).encode()  # fmt: skip
-    req = (
+async def load(options):
+    """Sends requests on persistent connections: `rate` a second in all, or without pause if it is 0."""
+    host, _, port = options["address"].rpartition(":")
+    body = json.dumps(
+        {
+            "model": "m",
+            "stream": True,
+            "max_tokens": options["tokens"],
+            "messages": [{"role": "user", "content": "why was the card declined at the pump? " * 4}],
+        }
+    ).encode()
+    request = (
         b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-loopback\r\n"
         b"content-type: application/json\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body)
     )
-    firsts, ends, bad, tokens, open_now, most = [], [], [0], [0], [0], [0]
-    start = time.perf_counter() + 0.5 + given.get("delay", 0)
-    until = start + given["seconds"]
+    first_token_times, ended_at, failed, tokens, open_now, most_open = [], [], [0], [0], [0], [0]
+    start = time.perf_counter() + 0.5 + options.get("delay", 0)
+    until = start + options["seconds"]
 
-    async def one(number):
+    async def run_connection(number):
         reader, writer = await asyncio.open_connection(host, int(port), limit=1 << 20)
-        every = given["connections"] / given["rate"] if given["rate"] else 0
-        due = start + (number * every / given["connections"] if every else 0)
+        interval = options["connections"] / options["rate"] if options["rate"] else 0
+        send_at = start + (number * interval / options["connections"] if interval else 0)
         while time.perf_counter() < until:
-            if every:
-                await asyncio.sleep(max(due - time.perf_counter(), 0))
-                due += every
-            began = time.perf_counter()
+            if interval:
+                await asyncio.sleep(max(send_at - time.perf_counter(), 0))
+                send_at += interval
+            sent_at = time.perf_counter()
             open_now[0] += 1
-            most[0] = max(most[0], open_now[0])
-            writer.write(req)
-            seen, first, last = 0, 0.0, b""
+            most_open[0] = max(most_open[0], open_now[0])
+            writer.write(request)
+            received_tokens, first, tail = 0, 0.0, b""
             while True:
                 data = await reader.read(65_536)
                 if not data:
-                    bad[0] += 1
+                    failed[0] += 1
                     return
-                seen += data.count(b'"word "')
-                if not first and seen:
-                    first = time.perf_counter() - began
-                last = (last + data)[-64:]
-                if last.endswith(b"0\r\n\r\n") or (not seen and b"HTTP/1.1 5" in data):
+                received_tokens += data.count(b'"word "')
+                if not first and received_tokens:
+                    first = time.perf_counter() - sent_at
+                tail = (tail + data)[-64:]
+                if tail.endswith(b"0\r\n\r\n") or (not received_tokens and b"HTTP/1.1 5" in data):
                     break
             open_now[0] -= 1
-            tokens[0] += seen
-            if seen:
-                firsts.append(first)
-                ends.append(time.perf_counter())
+            tokens[0] += received_tokens
+            if received_tokens:
+                first_token_times.append(first)
+                ended_at.append(time.perf_counter())
             else:
-                bad[0] += 1
+                failed[0] += 1
         writer.close()
 
-    tries = [one(number) for number in range(given["connections"])]
-    done = await asyncio.gather(*tries, return_exceptions=True)
-    firsts.sort()
-    took = (max(ends) - start) if ends else 1
-    print(json.dumps({
-        "reqs": len(firsts), "bad": bad[0], "reqs_s": len(firsts) / took, "tokens_s": tokens[0] / took,
-        "most_at_once": most[0], "errors": sum(isinstance(each, Exception) for each in done),
-        "firsts": [round(first * 1e6) for first in firsts[:: max(len(firsts) // 5000, 1)]],
-    }), flush=True)  # fmt: skip
+    connections = [run_connection(number) for number in range(options["connections"])]
+    results = await asyncio.gather(*connections, return_exceptions=True)
+    first_token_times.sort()
+    duration = (max(ended_at) - start) if ended_at else 1
+    print(
+        json.dumps(
+            {
+                "reqs": len(first_token_times),
+                "bad": failed[0],
+                "reqs_s": len(first_token_times) / duration,
+                "tokens_s": tokens[0] / duration,
+                "most_at_once": most_open[0],
+                "errors": sum(isinstance(each, Exception) for each in results),
+                "firsts": [
+                    round(first * 1e6)
+                    for first in first_token_times[:: max(len(first_token_times) // 5000, 1)]
+                ],
+            }
+        ),
+        flush=True,
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/notice.py
+++ b/benchmarks/notice.py
@@ -1,9 +1,9 @@
-"""How noticing silence trades false alarms for time. `python -m benchmarks.notice`
+"""False alarms against detection time of the stall detector. `python -m benchmarks.notice`
 
-Simulated writers (no sockets): 8 engines with 12 streams each write a token every 20 ms, log-normal, for a
-minute; then one falls silent. Before, one or all of them write slower for twenty seconds, or rest (a pause
-of the whole engine). The table has, for values of GAP_FACTOR, the streams wrongly given up in that minute and
-the time to notice the loss.
+Simulated decode engines (no sockets): 8 engines with 12 streams each send a token every 20 ms, log-normal,
+for a minute; then one goes silent. Before that, one or all of them are slower for twenty seconds, or pause
+all their streams at random. For values of GAP_FACTOR the table shows the streams wrongly given up in that
+minute and the time to detect the silence.
 """
 
 import random
@@ -11,65 +11,73 @@
 from lifthead.resume import stall_detector
 from lifthead.resume.stall_detector import StallDetector
 
-ENGINES, STREAMS, STEP = 8, 12, 10_000
-SLOW = {
+ENGINES, STREAMS, STEP = 8, 12, 10_000  # STEP in microseconds
+SLOW_ENGINES = {
     "none": (0, 1.0), "one, 5 times": (1, 5.0), "one, 15 times": (1, 15.0), "all, 5 times": (8, 5.0),
     "all, 15 times": (8, 15.0), "all, 40 times": (8, 40.0),
 }  # fmt: skip
 
 
-def play(slow, times, rest, seed):
-    """Streams given up while all are alive, and how long the silence of engine 0 lasted before it was
-    noticed."""
-    chance, watch = random.Random(seed), StallDetector(10_000_000)
-    due, wrong, now = {}, 0, 0
+def simulate(slow_engines, slowdown, max_pause, seed):
+    """The number of streams given up while all engines are alive, and the microseconds until the silence of
+    engine 0 is detected."""
+    rng, detector = random.Random(seed), StallDetector(10_000_000)
+    next_token_at, false_alarms, now = {}, 0, 0
     for engine in range(ENGINES):
         for number in range(STREAMS):
-            watch.started(engine * 100 + number, f"e{engine}", 0)
-            due[engine * 100 + number] = chance.randint(0, 40_000)
-    rests = {engine: 0 for engine in range(ENGINES)}
+            detector.started(engine * 100 + number, f"e{engine}", 0)
+            next_token_at[engine * 100 + number] = rng.randint(0, 40_000)
+    paused_until = {engine: 0 for engine in range(ENGINES)}
     silent_at = 60_000_000
     while now < silent_at + 12_000_000:
         now += STEP
         for engine in range(ENGINES):
-            if rest and chance.random() < STEP / 5_000_000:
-                rests[engine] = now + round(chance.uniform(0, rest))
-        for stream in sorted(due):
+            if max_pause and rng.random() < STEP / 5_000_000:
+                paused_until[engine] = now + round(rng.uniform(0, max_pause))
+        for stream in sorted(next_token_at):
             engine = stream // 100
-            if due[stream] > now or rests[engine] > now or (engine == 0 and now >= silent_at):
+            if (
+                next_token_at[stream] > now
+                or paused_until[engine] > now
+                or (engine == 0 and now >= silent_at)
+            ):
                 continue
-            watch.progressed(stream, now)
-            factor = times if engine < slow and 20_000_000 <= now < 40_000_000 else 1.0
-            due[stream] = now + round(20_000 * factor * chance.lognormvariate(0, 0.4))
-        for loss in watch.lost_streams(now):
+            detector.progressed(stream, now)
+            factor = slowdown if engine < slow_engines and 20_000_000 <= now < 40_000_000 else 1.0
+            next_token_at[stream] = now + round(20_000 * factor * rng.lognormvariate(0, 0.4))
+        for loss in detector.lost_streams(now):
             if now < silent_at:
-                wrong += 1
-                watch.ended(loss.stream)
-                watch.started(loss.stream, loss.engine, now)
+                false_alarms += 1
+                detector.ended(loss.stream)
+                detector.started(loss.stream, loss.engine, now)
             elif loss.engine == "e0":
-                return wrong, now - silent_at
-    return wrong, None
+                return false_alarms, now - silent_at
+    return false_alarms, None
 
 
 def main():
-    usual = stall_detector.GAP_FACTOR
+    default_factor = stall_detector.GAP_FACTOR
     print(
-        f"{'slow before':16}{'rests to':>10}"
+        f"{'slow before':16}{'pause up to':>12}"
         + "".join(f"{f'GAP_FACTOR {value:g}':>20}" for value in (2, 4, 8, 16))
     )
-    for name, (slow, times) in SLOW.items():
-        for rest in (0, 300_000):
+    for name, (slow_engines, slowdown) in SLOW_ENGINES.items():
+        for max_pause in (0, 300_000):
             cells = []
             for value in (2, 4, 8, 16):
                 stall_detector.GAP_FACTOR = value
-                found = [play(slow, times, rest, seed) for seed in range(3)]
-                wrong = sum(each[0] for each in found) / len(found)
-                took = [each[1] for each in found if each[1] is not None]
+                results = [simulate(slow_engines, slowdown, max_pause, seed) for seed in range(3)]
+                false_alarms = sum(each[0] for each in results) / len(results)
+                detection_times = [each[1] for each in results if each[1] is not None]
                 cells.append(
-                    f"{wrong:.0f}, {sum(took) / len(took) / 1000:.0f} ms" if took else f"{wrong:.0f}, never"
+                    f"{false_alarms:.0f}, {sum(detection_times) / len(detection_times) / 1000:.0f} ms"
+                    if detection_times
+                    else f"{false_alarms:.0f}, never"
                 )
-            print(f"{name:16}{rest // 1000:>7} ms" + "".join(f"{cell:>20}" for cell in cells), flush=True)
-    stall_detector.GAP_FACTOR = usual
+            print(
+                f"{name:16}{max_pause // 1000:>9} ms" + "".join(f"{cell:>20}" for cell in cells), flush=True
+            )
+    stall_detector.GAP_FACTOR = default_factor
 
 
 if __name__ == "__main__":
--- a/benchmarks/parsers.py
+++ b/benchmarks/parsers.py
@@ -1,4 +1,4 @@
-"""Which HTTP parser: h11 against httptools on the same bytes. `python -m benchmarks.parsers`"""
+"""Speed of the HTTP parsers h11 and httptools on the same bytes. `python -m benchmarks.parsers`"""
 
 import time
 
@@ -6,7 +6,7 @@
 
 from lifthead.http1 import AnswerParser, RequestParser, encode_chunk
 
-REQ = (
+REQUEST = (
     b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer k\r\nContent-Length: 900\r\n\r\n"
     + b"x" * 900
 )
@@ -15,20 +15,20 @@
 EVENTS = 2000
 
 
-def by_httptools_req():
+def parse_request_with_httptools():
     parser = RequestParser(16_384, 1 << 20)
-    parser.feed(REQ)
+    parser.feed(REQUEST)
     assert parser.requests
 
 
-def by_h11_req():
+def parse_request_with_h11():
     parser = h11.Connection(h11.SERVER)
-    parser.receive_data(REQ)
+    parser.receive_data(REQUEST)
     while not isinstance(parser.next_event(), h11.EndOfMessage):
         pass
 
 
-def by_httptools_events():
+def parse_events_with_httptools():
     parser = AnswerParser()
     parser.feed(HEAD)
     for _ in range(EVENTS):
@@ -36,7 +36,7 @@
         parser.body()
 
 
-def by_h11_events():
+def parse_events_with_h11():
     parser = h11.Connection(h11.CLIENT)
     parser.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
     parser.send(h11.EndOfMessage())
@@ -48,16 +48,19 @@
             pass
 
 
-def cost(act, times, each=1):
+def microseconds_per_item(parse, repetitions, items=1):
     start = time.perf_counter()
-    for _ in range(times):
-        act()
-    return (time.perf_counter() - start) / times / each * 1e6
+    for _ in range(repetitions):
+        parse()
+    return (time.perf_counter() - start) / repetitions / items * 1e6
 
 
 if __name__ == "__main__":
-    print(f"req:   httptools {cost(by_httptools_req, 3000):6.1f} us, h11 {cost(by_h11_req, 3000):6.1f} us")
     print(
-        f"event: httptools {cost(by_httptools_events, 5, EVENTS):6.2f} us, "
-        f"h11 {cost(by_h11_events, 5, EVENTS):6.2f} us"
+        f"request: httptools {microseconds_per_item(parse_request_with_httptools, 3000):6.1f} us, "
+        f"h11 {microseconds_per_item(parse_request_with_h11, 3000):6.1f} us"
+    )
+    print(
+        f"event:   httptools {microseconds_per_item(parse_events_with_httptools, 5, EVENTS):6.2f} us, "
+        f"h11 {microseconds_per_item(parse_events_with_h11, 5, EVENTS):6.2f} us"
     )
--- a/benchmarks/rolls.py
+++ b/benchmarks/rolls.py
@@ -1,7 +1,8 @@
-"""A rolling restart of twelve engines and three routers under load, beside a naive one and none at all.
+"""A rolling restart of twelve engines and three routers under load, compared with a naive one and with none.
 
-`python -m benchmarks.rolls [SEED ...]`: examples/roll.star on real processes, some 100 s each. Naive: the
-same engines and routers are stopped and started one after the other, undrained, as fast as they come back.
+`python -m benchmarks.rolls [SEED ...]`: examples/roll.star on real processes, about 100 s each. The naive
+restart stops and starts the same engines and routers one after the other, undrained, as fast as they
+come back.
 """
 
 import asyncio
@@ -12,9 +13,9 @@
 from lifthead.deployment import script
 from lifthead.standins import day
 
-FILE = Path(__file__).parents[1] / "examples" / "roll.star"
-WAYS = {"none": "", "naive": 'trouble("naive_roll"', "lifthead roll": 'trouble("roll"'}
-SHOWN = (
+SCRIPT = Path(__file__).parents[1] / "examples" / "roll.star"
+RESTARTS = {"none": "", "naive": 'trouble("naive_roll"', "lifthead roll": 'trouble("roll"'}
+PRINTED_FIELDS = (
     "reqs",
     "done",
     "pushed_back",
@@ -28,18 +29,21 @@
 
 
 def main(seeds: list[int]) -> None:
-    text = FILE.read_text()
+    text = SCRIPT.read_text()
     for seed in seeds:
-        for way, trouble in WAYS.items():
+        for restart, fault in RESTARTS.items():
             head, _, tail = text.partition('trouble("roll"')
             with tempfile.TemporaryDirectory() as directory:
                 file = Path(directory) / "roll.star"
-                file.write_text(head + (trouble + tail if trouble else ""))
+                file.write_text(head + (fault + tail if fault else ""))
                 summary = asyncio.run(
                     day.run_scenario(script.read(file), file, Path(directory) / "out", seed)
                 )
-            print(f"seed {seed}, {way}: " + ", ".join(f"{key} {summary[key]}" for key in SHOWN), flush=True)
+            print(
+                f"seed {seed}, {restart}: " + ", ".join(f"{key} {summary[key]}" for key in PRINTED_FIELDS),
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
-    main([int(word) for word in sys.argv[1:]] or [1])
+    main([int(argument) for argument in sys.argv[1:]] or [1])
--- a/benchmarks/router.py
+++ b/benchmarks/router.py
@@ -1,6 +1,6 @@
-"""One router process under load, beside a bare byte relay and beside random choice on the same stack.
+"""One router process under load, compared with a minimal byte relay and with random choice on the same stack.
 
-`python -m benchmarks.router [--many 10000] [--ledger] [--out FILE]`: prints one JSON line a measurement.
+`python -m benchmarks.router [--many 10000] [--ledger] [--out FILE]`: prints one JSON line per measurement.
 """
 
 import contextlib
@@ -23,13 +23,13 @@
 ENGINES = 4
 
 
-class Bench:
-    """Processes of one measurement; all ended by their own handles."""
+class RouterBenchmark:
+    """The processes of one measurement, which end with it."""
 
     def __init__(self, stack, events, gap):
         self.stack = stack
-        self.dir = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        self.engines = [self.part("engine", {"events": events, "gap": gap}) for _ in range(ENGINES)]
+        self.directory = Path(stack.enter_context(tempfile.TemporaryDirectory()))
+        self.engines = [self.start_part("engine", {"events": events, "gap": gap}) for _ in range(ENGINES)]
 
     def start(self, *command):
         process = subprocess.Popen([sys.executable, "-m", *command], stdout=subprocess.PIPE, text=True)
@@ -42,11 +42,11 @@
         process.wait()
         process.stdout.close()
 
-    def part(self, what, given):
-        return self.start("benchmarks.fast", what, json.dumps(given)).stdout.readline().strip()
+    def start_part(self, part, options):
+        return self.start("benchmarks.fast", part, json.dumps(options)).stdout.readline().strip()
 
     def target(self, kind):
-        """Address to ask, process id and health page of what is measured."""
+        """Starts what is measured; returns its address, process id and health address."""
         if kind == "direct":
             return self.engines[0], None, None
         if kind == "relay":
@@ -56,33 +56,44 @@
             f'engine("w{n}", zone = "a", kind = "writer", address = "{at}")'
             for n, at in enumerate(self.engines)
         ]
-        file = self.dir / "bench.star"
-        ledger = {"with a ledger": "ledger()\n", "ledger, not waiting": "ledger(wait = False)\n"}.get(
+        file = self.directory / "bench.star"
+        ledger = {"with a ledger": "ledger()\n", "ledger without waiting": "ledger(wait = False)\n"}.get(
             kind, ""
         )
         file.write_text(SCRIPT.format(engines="\n".join(lines)) + ledger)
-        how = ("benchmarks.baselines", "random") if kind == "random" else ("lifthead.cli", "serve")
+        module = ("benchmarks.baselines", "random") if kind == "random" else ("lifthead.cli", "serve")
         process = self.start(
-            *how, str(file), "--router", "r", "--run", str(self.dir), "--log", str(self.dir / "log")
+            *module,
+            str(file),
+            "--router",
+            "r",
+            "--run",
+            str(self.directory),
+            "--log",
+            str(self.directory / "log"),
         )
-        said = json.loads(process.stdout.readline())
-        return said["base_url"].split("/")[2], process.pid, said["health"]
-
-    def load(self, address, processes, **given):
-        """Several load processes at once; their results put together."""
-        given = {"address": address, "tokens": 8, "rate": 0, **given}
-        share = {**given, "rate": given["rate"] / processes, "connections": given["connections"] // processes}
+        output = json.loads(process.stdout.readline())
+        return output["base_url"].split("/")[2], process.pid, output["health"]
+
+    def load(self, address, processes, **options):
+        """Runs several load processes at once and merges their results."""
+        options = {"address": address, "tokens": 8, "rate": 0, **options}
+        share = {
+            **options,
+            "rate": options["rate"] / processes,
+            "connections": options["connections"] // processes,
+        }
         parts = [self.start("benchmarks.fast", "load", json.dumps(share)) for _ in range(processes)]
-        found = [json.loads(part.stdout.readline()) for part in parts]
-        firsts = sorted(first for each in found for first in each.pop("firsts"))
-        total = {key: sum(each[key] for each in found) for key in found[0]}
-        total["first_p50_ms"] = firsts[len(firsts) // 2] / 1000
-        total["first_p99_ms"] = firsts[len(firsts) * 99 // 100] / 1000
+        result = [json.loads(part.stdout.readline()) for part in parts]
+        first_token_times = sorted(first for each in result for first in each.pop("firsts"))
+        total = {key: sum(each[key] for each in result) for key in result[0]}
+        total["first_p50_ms"] = first_token_times[len(first_token_times) // 2] / 1000
+        total["first_p99_ms"] = first_token_times[len(first_token_times) * 99 // 100] / 1000
         return {key: round(value, 2) for key, value in total.items()}
 
 
 def memory(pid):
-    """Resident bytes of a process."""
+    """Resident memory of a process in bytes."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) * 1024
@@ -90,32 +101,32 @@
 
 
 def lag(health):
-    """Longest stall of the loop in the last second, in milliseconds."""
+    """Longest stall of the event loop in the last second, in milliseconds."""
     page = urllib.request.urlopen(f"http://{health}/metrics").read().decode().splitlines()
     return 1000 * next(float(line.split()[1]) for line in page if line.startswith("lifthead_loop_lag"))
 
 
-def measure(kind, events, gap, processes, **given):
+def measure(kind, events, gap, processes, **options):
     with contextlib.ExitStack() as stack:
-        bench = Bench(stack, events, gap)
-        address, pid, health = bench.target(kind)
-        bench.load(address, 1, connections=8, seconds=0.5, rate=50)  # connections and caches are warm then
-        found = bench.load(address, processes, **given)
+        benchmark = RouterBenchmark(stack, events, gap)
+        address, pid, health = benchmark.target(kind)
+        benchmark.load(address, 1, connections=8, seconds=0.5, rate=50)  # warm up connections and caches
+        result = benchmark.load(address, processes, **options)
         if health:
-            found["lag_ms"] = round(lag(health), 1)
-        return found
+            result["lag_ms"] = round(lag(health), 1)
+        return result
 
 
-def many(kind, streams):
-    """Memory and stalls with so many streams at once."""
+def measure_many_streams(kind, streams):
+    """Memory and event loop stalls with many concurrent streams."""
     with contextlib.ExitStack() as stack:
-        bench = Bench(stack, 12, 1.5)
-        address, pid, health = bench.target(kind)
-        bench.load(address, 1, connections=8, seconds=0.5, rate=50)
-        before, worst, stall = memory(pid), 0, 0.0
+        benchmark = RouterBenchmark(stack, 12, 1.5)
+        address, pid, health = benchmark.target(kind)
+        benchmark.load(address, 1, connections=8, seconds=0.5, rate=50)
+        before, peak_memory, stall = memory(pid), 0, 0.0
         rate = streams / 6
         parts = [
-            bench.start("benchmarks.fast", "load", json.dumps({
+            benchmark.start("benchmarks.fast", "load", json.dumps({
                 "address": address, "tokens": 16, "rate": rate / 4, "connections": streams // 4, "seconds": 7,
             }))
             for _ in range(4)
@@ -123,44 +134,46 @@
         until = time.monotonic() + 16
         while time.monotonic() < until:
             time.sleep(0.5)
-            worst = max(worst, memory(pid))
+            peak_memory = max(peak_memory, memory(pid))
             if health:
                 stall = max(stall, lag(health))
-        found = [json.loads(part.stdout.readline()) for part in parts]
-        at_once = sum(each["most_at_once"] for each in found)
+        result = [json.loads(part.stdout.readline()) for part in parts]
+        at_once = sum(each["most_at_once"] for each in result)
         return {
-            "streams": at_once, "bad": sum(each["bad"] + each["errors"] for each in found),
-            "kb_a_stream": round((worst - before) / at_once / 1024, 1), "stall_ms": round(stall, 1),
+            "streams": at_once, "bad": sum(each["bad"] + each["errors"] for each in result),
+            "kb_a_stream": round((peak_memory - before) / at_once / 1024, 1), "stall_ms": round(stall, 1),
         }  # fmt: skip
 
 
-def main(words):
-    out = open(words[words.index("--out") + 1], "w") if "--out" in words else None  # noqa: SIM115
-    most = int(words[words.index("--many") + 1]) if "--many" in words else 2000
+def main(arguments):
+    out = open(arguments[arguments.index("--out") + 1], "w") if "--out" in arguments else None  # noqa: SIM115
+    max_streams = int(arguments[arguments.index("--many") + 1]) if "--many" in arguments else 2000
 
-    def say(**found):
-        line = json.dumps(found)
+    def report(**result):
+        line = json.dumps(result)
         print(line, flush=True)
         if out:
             out.write(line + "\n")
 
-    if "--ledger" in words:
-        for kind in ("lifthead", "with a ledger", "ledger, not waiting"):
-            found = measure(kind, 8, 0, 2, connections=64, seconds=8)
-            say(what="saturation, 8 tokens a req", through=kind, **found)
+    if "--ledger" in arguments:
+        for kind in ("lifthead", "with a ledger", "ledger without waiting"):
+            result = measure(kind, 8, 0, 2, connections=64, seconds=8)
+            report(what="saturation, 8 tokens a request", through=kind, **result)
         return
-    full = {}
+    saturation = {}
     for kind in ("relay", "random", "lifthead"):
-        full[kind] = measure(kind, 8, 0, 2, connections=64, seconds=8)
-        say(what="saturation, 8 tokens a req", through=kind, **full[kind])
-    half = full["lifthead"]["reqs_s"] / 2
+        saturation[kind] = measure(kind, 8, 0, 2, connections=64, seconds=8)
+        report(what="saturation, 8 tokens a request", through=kind, **saturation[kind])
+    half = saturation["lifthead"]["reqs_s"] / 2
     for kind in ("direct", "relay", "random", "lifthead"):
-        found = measure(kind, 8, 0, 2, connections=64, seconds=8, rate=half)
-        say(what=f"half load, {half:.0f} reqs a second", through=kind, **found)
+        result = measure(kind, 8, 0, 2, connections=64, seconds=8, rate=half)
+        report(what=f"half load, {half:.0f} requests a second", through=kind, **result)
     for kind in ("relay", "random", "lifthead"):
-        say(what="tokens, 400 a req", through=kind, **measure(kind, 400, 0, 2, connections=16, seconds=8))
-    for streams in (2000, most) if most > 2000 else (2000,):
-        say(what="many streams", through="lifthead", **many("lifthead", streams))
+        report(
+            what="tokens, 400 a request", through=kind, **measure(kind, 400, 0, 2, connections=16, seconds=8)
+        )
+    for streams in (2000, max_streams) if max_streams > 2000 else (2000,):
+        report(what="many streams", through="lifthead", **measure_many_streams("lifthead", streams))
 
 
 if __name__ == "__main__":
