--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -520,7 +520,7 @@
             for line in breach.lines:
                 typer.echo(f"    {msgspec.json.encode(line).decode()}")
         print_table(
-            [{"rule": rule, "breaches": count} for rule, count in counts.items()], f"{len(traffic.asks)} reqs"
+            [{"rule": rule, "breaches": count} for rule, count in counts.items()], f"{len(traffic.requests)} reqs"
         )
     if breaches:
         raise typer.Exit(1)
