--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -1,7 +1,7 @@
 """Baselines that replace the decision module on the same host: round robin and random choice.
 
 `python -m benchmarks.baselines random serve ...` takes the options of `lifthead serve`. The baselines keep
-rule 2 and the client's budget, and no other rule of the decision module.
+the single_effect rule and the client's budget, and no other rule of the decision module.
 """
 
 import asyncio
--- a/lifthead/lab/world.py
+++ b/lifthead/lab/world.py
@@ -58,7 +58,7 @@
         overheads: Overheads = DEFAULT_OVERHEADS,
     ) -> None:
         if fleet.crowd is None:
-            raise ValueError("the script has no crowd(), expected one")
+            raise ValueError("expected a crowd() call in the script, found none")
         if unsupported := [each.what for each in fleet.troubles if each.what in NOT_SIMULATED]:
             raise ValueError(
                 f"trouble({unsupported[0]!r}) can't be emulated: it acts on bytes or an operator's tool"
--- a/lifthead/members/roll.py
+++ b/lifthead/members/roll.py
@@ -4,7 +4,7 @@
 It acts through calls on a host. The host stores the progress before each action, so that a tool that was
 killed resumes where it was. An action that may already have been done is done again; a drained engine
 tolerates that. An engine that comes back is reported to the routers as just started, so that they treat it as
-cold (rule 4)."""
+cold (the slow_start rule)."""
 
 from typing import Literal, Protocol
 
--- a/lifthead/members/view.py
+++ b/lifthead/members/view.py
@@ -2,8 +2,8 @@
 
 The engine file decides which engines may be used; the pushed list decides which of them are alive. Where
 sources disagree about one engine, the most cautious readiness holds: gone, then draining, then ready. A
-change that takes an engine out of service is reported at once (rule 3); a change that brings it back is
-delayed while the engine flaps. The last list of a source that is lost stays in force.
+change that takes an engine out of service is reported at once (the drain rule); a change that brings it back
+is delayed while the engine flaps. The last list of a source that is lost stays in force.
 """
 
 from collections import deque
--- a/lifthead/resume/resume_queue.py
+++ b/lifthead/resume/resume_queue.py
@@ -1,9 +1,9 @@
 """Decides which broken streams are resumed, in which order and when, and which are ended. Limits for each
 request, each tenant and the whole router keep the loss of a rack from becoming a storm of prefills.
 
-Rule 2 comes first. A stream that has begun may have run: a non-idempotent request is never resumed, and one
-with idempotency key only while an engine that knows the key remembers it (control.Router chooses among those
-engines, as it is told which engine ran the request and when).
+The single_effect rule comes first. A stream that has begun may have run: a non-idempotent request is never
+resumed, and one with idempotency key only while an engine that knows the key remembers it (control.Router
+chooses among those engines, as it is told which engine ran the request and when).
 """
 
 from dataclasses import dataclass
--- a/lifthead/standins/faults/checker.py
+++ b/lifthead/standins/faults/checker.py
@@ -167,7 +167,7 @@
 
 
 def _check_final_answer(traffic: Traffic, request_id: str) -> list[Breach]:
-    """Rule 1: one final answer within the budget, and no attempt after it or after the client disconnects."""
+    """Rule 1 (final_answer): one answer within the budget; no attempt after it or a disconnect."""
     request, outcome_line = traffic.requests[request_id], traffic.outcomes.get(request_id)
     breaches = []
     deadline = request["t"] + request["budget"]
@@ -196,7 +196,7 @@
 
 
 def _check_effects(traffic: Traffic, request_id: str) -> list[Breach]:
-    """Rule 2: no effect happens twice, and a request never has two attempts in flight at once."""
+    """Rule 2 (single_effect): no effect happens twice; a request never has two attempts in flight at once."""
     lines = traffic.lines_by_request[request_id]
     breaches = []
     runs = [line for line in lines if line["ev"] == "ran"]
@@ -219,7 +219,7 @@
 
 
 def _check_held_state(traffic: Traffic, request_id: str) -> list[Breach]:
-    """Rule 5: a held state is taken or released in time, unless an attempt that needs it has arrived."""
+    """Rule 5 (held_state): a state is taken or released in time, unless an attempt for it has arrived."""
     lines = traffic.lines_by_request[request_id]
     breaches = []
     for held in [line for line in lines if line["ev"] == "held"]:
@@ -266,7 +266,7 @@
 
 
 def _check_drains(traffic: Traffic) -> list[Breach]:
-    """Rule 3: no new attempt at a draining or gone engine after the grace period."""
+    """Rule 3 (drain): no new attempt at a draining or gone engine after the grace period."""
     breaches = []
     unready_since: dict[tuple[str, str], int] = {}  # by router and engine: since when the router knows
     delivery_delay = FAULTY_DISCOVERY_DELAY if traffic.has_discovery_faults else DISCOVERY_DELAY
