--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -104,7 +104,7 @@
 ) -> None:
     """Run one router until SIGTERM; then finish its pending requests and exit 0."""
     from lifthead.daemon import serve as daemon
-    from lifthead.ledger.keeper import LockedError
+    from lifthead.ledger.writer import LockedError
 
     fleet = _read_settings(file)
     name = router or (next(iter(fleet.routers)) if len(fleet.routers) == 1 else "")
@@ -329,47 +329,47 @@
     from lifthead.members.drains import SelectorError, select_by_labels
     from lifthead.members.roll import Plan, refusal
 
-    async def run_roll(roll_state: rolling.RollFile) -> str:
-        saved = roll_state.read()
+    async def run_or_resume(roll_file: rolling.RollFile) -> str:
+        saved = roll_file.read()
         if forget:
-            roll_state.forget()
+            roll_file.forget()
             return ""
         if resume != (saved is not None):
             raise rolling.RollBusyError(
-                f"{roll_state.path}: a roll is not finished: use --resume or --forget"
+                f"{roll_file.path}: a roll is not finished: use --resume or --forget"
                 if saved
                 else "there is no roll to resume"
             )
         if saved is None:
-            fleet_watch = rolling.FleetObserver(run)
-            facts = await fleet_watch.observe()
-            engines = [] if selector == "-" else select_by_labels(selector, fleet_watch.labels)
-            chosen_routers = (
+            observer = rolling.FleetObserver(run)
+            facts = await observer.observe()
+            engines = [] if selector == "-" else select_by_labels(selector, observer.labels)
+            selected_routers = (
                 sorted(facts.routers) if routers == "all" else [*filter(None, routers.split(","))]
             )
-            if (engines and not restart) or (chosen_routers and not restart_router):
+            if (engines and not restart) or (selected_routers and not restart_router):
                 raise ValueError("expected --restart for engines and --restart-router for routers")
             plan = Plan(
-                engines, chosen_routers, floor, at_once, int(parse_duration(limit)) if limit else 0,
+                engines, selected_routers, floor, at_once, int(parse_duration(limit)) if limit else 0,
                 pause_over, int(parse_duration(back_within)),
             )  # fmt: skip
             if why := refusal(plan, facts):
                 raise ValueError(why)
             saved = rolling.SavedRoll(plan, restart, restart_router)
-        return await rolling.RollRunner(run, roll_state, saved, say).run()
+        return await rolling.RollRunner(run, roll_file, saved, print_progress).run()
 
-    def say(text: str) -> None:
+    def print_progress(text: str) -> None:
         print_json({"said": text}) if as_json else typer.echo(text)
 
     try:
         run.mkdir(parents=True, exist_ok=True)
-        with rolling.RollFile(run) as roll_state:
-            failed = asyncio.run(run_roll(roll_state))
+        with rolling.RollFile(run) as roll_file:
+            failure = asyncio.run(run_or_resume(roll_file))
     except (rolling.RollBusyError, SelectorError, ValueError, OSError) as problem:
         typer.echo(str(problem), err=True)
         raise typer.Exit(2) from None
-    if failed:
-        typer.echo(f"stopped: {failed}; fix the cause, then use --resume", err=True)
+    if failure:
+        typer.echo(f"stopped: {failure}; fix the cause, then use --resume", err=True)
         raise typer.Exit(1)
 
 
--- a/lifthead/daemon/billing.py
+++ b/lifthead/daemon/billing.py
@@ -2,13 +2,13 @@
 
 from lifthead.daemon.requests import PendingChatRequest
 from lifthead.ledger.entries import Usage, usage_entry
-from lifthead.ledger.keeper import LedgerWriter
 from lifthead.ledger.quota import Quota
+from lifthead.ledger.writer import LedgerWriter
 
 
 class Billing:
-    def __init__(self, keeper: LedgerWriter, quota: Quota) -> None:
-        self._keeper, self._quota = keeper, quota
+    def __init__(self, writer: LedgerWriter, quota: Quota) -> None:
+        self._writer, self._quota = writer, quota
         self._tenants: list[str] = []
         self._period = ""
 
@@ -18,10 +18,10 @@
         self._follow_period()
 
     def _follow_period(self) -> None:
-        period = self._keeper.period()
+        period = self._writer.period()
         if period != self._period:
             self._period = period
-            used = {tenant: self._keeper.journal.book.tokens_used(period, tenant) for tenant in self._tenants}
+            used = {tenant: self._writer.journal.book.tokens_used(period, tenant) for tenant in self._tenants}
             self._quota.start_period(period, used)
 
     def shares(self) -> dict[str, float]:
@@ -33,14 +33,14 @@
         pending.billed = True
         entry = self._entry(pending, "done")
         self._settle(pending, entry)
-        await self._keeper.append_and_wait(entry)
+        await self._writer.append_and_wait(entry)
 
     def record_ended(self, pending: PendingChatRequest) -> None:
         if not pending.billed:
             pending.billed = True
             entry = self._entry(pending, pending.final_answer)
             self._settle(pending, entry)
-            self._keeper.append(entry)
+            self._writer.append(entry)
 
     def _settle(self, pending: PendingChatRequest, entry: Usage) -> None:
         reserved = pending.request.prompt_tokens + pending.request.max_answer_tokens
@@ -50,8 +50,8 @@
         request = pending.request
         return usage_entry(
             request_id=pending.name,
-            at=self._keeper.now(),
-            period=self._keeper.period(),
+            at=self._writer.now(),
+            period=self._writer.period(),
             tenant=request.tenant,
             group=request.request_class,
             ended=ended,
--- a/lifthead/daemon/serve.py
+++ b/lifthead/daemon/serve.py
@@ -32,8 +32,8 @@
 from lifthead.fleet import admin, health
 from lifthead.http1 import Message
 from lifthead.ledger.disk import DiskDirectory
-from lifthead.ledger.keeper import LedgerWriter, open_journal
 from lifthead.ledger.quota import Quota, TokenBudget
+from lifthead.ledger.writer import LedgerWriter, open_journal
 from lifthead.members import last_list, watch
 from lifthead.members.drains import Drains, OperatorState, SelectorError, select_engines
 from lifthead.members.handover import Predecessor, offer_sockets
--- a/lifthead/hosting.py
+++ b/lifthead/hosting.py
@@ -141,10 +141,10 @@
         finally:
             self._timer_owner = None
 
-    def _place_request(self, demand: RequestSpec, pending: PendingRequest) -> None:
+    def _place_request(self, spec: RequestSpec, pending: PendingRequest) -> None:
         """Passes a request to the decision module to place."""
         with self._timers_belong_to(pending):
-            self.router.on_request(demand)
+            self.router.on_request(spec)
 
     # The list of engines.
 
--- a/lifthead/ledger/command.py
+++ b/lifthead/ledger/command.py
@@ -20,7 +20,7 @@
 
 
 def _open(path: Path) -> Any:
-    from lifthead.ledger.keeper import LockedError, open_journal
+    from lifthead.ledger.writer import LockedError, open_journal
 
     if not path.is_dir():
         typer.echo(f"{path}: no ledger in this directory", err=True)
@@ -137,11 +137,11 @@
 ) -> None:
     """Export what has not been accepted yet; exit 1 if a batch was not accepted."""
 
-    from lifthead.ledger import export, keeper
+    from lifthead.ledger import export, writer
 
     journal, batches = _open(directory), []
     while True:
-        planned, data, manifest = keeper.plan_batch(journal, time.time_ns() // 1000)
+        planned, data, manifest = writer.plan_batch(journal, time.time_ns() // 1000)
         if planned is None:
             break
         if to.startswith("http://"):
@@ -150,7 +150,7 @@
                 raise typer.Exit(1)
         else:
             export.write_files(Path(to), data, manifest)
-        keeper.record_delivery(journal, planned, time.time_ns() // 1000)
+        writer.record_delivery(journal, planned, time.time_ns() // 1000)
         batches.append(manifest)
     print_json(batches) if as_json else print_table(batches, "landed")
 
--- a/lifthead/ledger/keeper.py
+++ b/lifthead/ledger/writer.py
@@ -47,9 +47,9 @@
     """Queues a router's entries, writes them to its journal, and exports them to the billing system."""
 
     def __init__(
-        self, journal: Journal, terms: LedgerSettings, log: Any, on_lost: Callable[[int], None]
+        self, journal: Journal, settings: LedgerSettings, log: Any, on_lost: Callable[[int], None]
     ) -> None:
-        self.journal, self.terms = journal, terms
+        self.journal, self.settings = journal, settings
         self.unwritable = False
         self.unbilled = 0
         self._log, self._on_lost = log, on_lost
@@ -66,13 +66,13 @@
         return self._latest_time
 
     def period(self) -> str:
-        wanted = period_of(self.now(), self.terms.zone, self.terms.period)
+        wanted = period_of(self.now(), self.settings.zone, self.settings.period)
         return self.journal.book.open_period(wanted)
 
     @property
     def refuses_requests(self) -> bool:
         """Whether requests are refused because their usage could not be recorded."""
-        return self.unwritable and self.terms.when_unwritable == "refuse"
+        return self.unwritable and self.settings.when_unwritable == "refuse"
 
     def append(self, entry: Usage) -> asyncio.Event:
         """Queues an entry; the event is set once the entry is on the disk."""
@@ -89,7 +89,7 @@
     async def append_and_wait(self, entry: Usage) -> None:
         """Queues an entry and, if the settings ask for it, waits until it is on the disk."""
         durable = self.append(entry)
-        if self.terms.wait and not self.unwritable:
+        if self.settings.wait and not self.unwritable:
             try:
                 async with asyncio.timeout(DURABLE_TIMEOUT_S):
                     await durable.wait()
@@ -102,8 +102,8 @@
         """Group commit: writes all queued entries at once, with one sync of the disk."""
         while True:
             await self._has_entries.wait()
-            if not self.terms.wait:
-                await asyncio.sleep(self.terms.commit_every / 1e6)
+            if not self.settings.wait:
+                await asyncio.sleep(self.settings.commit_every / 1e6)
             await self.flush()
             if self.unwritable:
                 await asyncio.sleep(WRITE_RETRY_S)
@@ -147,7 +147,9 @@
     def _on_write_error(self, problem: OSError) -> None:
         if not self.unwritable:
             self._log.error(
-                "the ledger can't be written", said=str(problem), when_unwritable=self.terms.when_unwritable
+                "the ledger can't be written",
+                said=str(problem),
+                when_unwritable=self.settings.when_unwritable,
             )
         self.unwritable = True
 
@@ -159,8 +161,8 @@
 
     async def run_exports(self) -> None:
         """Sends batch after batch to the billing system, and retries without end."""
-        interval = self.terms.export_every / 1e6
-        while self.terms.export_to:
+        interval = self.settings.export_every / 1e6
+        while self.settings.export_to:
             await asyncio.sleep(interval)
             try:
                 while await self.export_batch():
@@ -176,7 +178,7 @@
             planned, data, manifest = await asyncio.to_thread(plan_batch, self.journal, self.now())
         if planned is None:
             return False
-        if manifest["rows"] and not await export.deliver(self.terms.export_to, data, manifest):
+        if manifest["rows"] and not await export.deliver(self.settings.export_to, data, manifest):
             self._log.warning("a batch did not land: it is sent again", batch=planned.id)
             return False
         async with self._disk_lock:
--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -109,7 +109,7 @@
         if message.path == clients.READY_PATH and message.method == "GET":
             return reply.send_whole(200 if self._can_serve and self.list_is_current() else 503, b"")
         try:
-            demand = clients.parse_request(
+            spec = clients.parse_request(
                 message, self._next_id, self._request_classes, self.queueing_time(message)
             )
             request_id = message.headers[clients.ID_HEADER]
@@ -119,18 +119,18 @@
             reply.keep_alive = False
             return reply.send_whole(error.status, clients.error_body(error.status, "bad_req", error.reason))
         self._next_id += 1
-        guard = self._new_guard(request_id, demand.request_class, demand.budget)
+        guard = self._new_guard(request_id, spec.request_class, spec.budget)
         pending = PendingRequest(
-            id=demand.id, reply=reply, guard=guard, request_class=demand.request_class, message=message
+            id=spec.id, reply=reply, guard=guard, request_class=spec.request_class, message=message
         )
         self.pending_requests[pending.id] = pending
         self._open_request_ids.add(request_id)
         self.idle.clear()
         reply.on_client_gone = lambda: self._on_client_gone(pending)
         self._note_event(
-            pending, Event.ACCEPTED, detail=f"class={demand.request_class} prompt={demand.prompt_tokens}"
+            pending, Event.ACCEPTED, detail=f"class={spec.request_class} prompt={spec.prompt_tokens}"
         )
-        self._place_request(demand, pending)
+        self._place_request(spec, pending)
         await reply.finished.wait()
         self._forget(pending)
 
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -93,8 +93,8 @@
 def test_an_observation_proves_not_run_only_where_that_is_certain():
     proven = {
         observation
-        for observation, (ending, _) in OUTCOMES.items()
-        if ending in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT)
+        for observation, (outcome, _) in OUTCOMES.items()
+        if outcome in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT)
     }
     assert proven == {
         Observation.NO_CONNECTION,
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -19,14 +19,14 @@
 from lifthead.deployment import script
 from lifthead.deployment.durations import Microseconds
 from lifthead.deployment.fleet import LedgerSettings
-from lifthead.ledger import book, entries, export, journal, keeper, reconcile
+from lifthead.ledger import book, entries, export, journal, reconcile, writer
 from lifthead.ledger.book import Book, RefusedError
 from lifthead.ledger.disk import DiskDirectory
 from lifthead.ledger.entries import Closed, Correction, Usage, period_of
 from lifthead.ledger.journal import Journal
-from lifthead.ledger.keeper import plan_batch, record_delivery
 from lifthead.ledger.quota import MIN_SHARE, Quota, TokenBudget
 from lifthead.ledger.reconcile import ConflictError, MergedEntries
+from lifthead.ledger.writer import plan_batch, record_delivery
 from lifthead.standins.billing import Billing
 from lifthead.standins.local_fleet import LocalFleet
 from lifthead.standins.record import lines
@@ -424,7 +424,7 @@
 
 
 def test_an_answer_ends_only_after_its_entry_is_on_the_disk(tmp_path):
-    async def play():
+    async def scenario():
         async with Loopback(tmp_path, text=LEDGER) as loop:
             write = loop._group.create_task(loop.daemon.ledger.run_writer())
             disk = loop.daemon.ledger.journal._disk
@@ -450,16 +450,16 @@
             assert len(usages(loop.daemon.ledger.journal)) == 9
             write.cancel()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_stop_during_a_write_writes_each_entry_once(tmp_path):
     """`close` reads the queue only once the disk is free: the write in progress may have written the same
     entries."""
 
-    async def play():
+    async def scenario():
         ledger = Journal(DiskDirectory(tmp_path), "one")
-        writer = keeper.LedgerWriter(ledger, LedgerSettings(), Log(), lambda lost: None)
+        ledger_writer = writer.LedgerWriter(ledger, LedgerSettings(), Log(), lambda lost: None)
         begun, may_end, sync = threading.Event(), threading.Event(), ledger._disk.sync
 
         def slow(name):
@@ -468,18 +468,18 @@
             sync(name)
 
         ledger._disk.sync = slow
-        write = asyncio.create_task(writer.run_writer())
-        before = [writer.append(usage(number)) for number in range(3)]
+        write = asyncio.create_task(ledger_writer.run_writer())
+        before = [ledger_writer.append(usage(number)) for number in range(3)]
         await asyncio.to_thread(begun.wait, 5)
-        late = writer.append(usage(3))
-        stop = asyncio.create_task(writer.close())
+        late = ledger_writer.append(usage(3))
+        stop = asyncio.create_task(ledger_writer.close())
         await asyncio.sleep(0.01)
         may_end.set()
         await stop
         write.cancel()
-        assert all(each.is_set() for each in (*before, late)) and not writer.unbilled
+        assert all(each.is_set() for each in (*before, late)) and not ledger_writer.unbilled
 
-    run(play())
+    run(scenario())
     assert [entry.id for entry in usages(Journal(DiskDirectory(tmp_path), "x"))] == [
         usage(number).id for number in range(4)
     ]
@@ -488,13 +488,13 @@
 def test_a_disk_that_was_full_during_an_export_leads_to_no_refused_requests(tmp_path):
     """Without new entries, no later write would show that the disk has space again."""
 
-    async def play():
+    async def scenario():
         billing = Billing(tmp_path / "billing")
         server = await asyncio.start_server(billing.handle_connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
         ledger = Journal(DiskDirectory(tmp_path / "ledger"), "one")
         ledger.append([usage(number) for number in range(4)])
-        terms, sync, failed = (
+        ledger_settings, sync, failed = (
             LedgerSettings(export_to=url, export_every=Microseconds(10_000)),
             ledger._disk.sync,
             [],
@@ -505,8 +505,8 @@
             raise OSError(errno.ENOSPC, "No space left on device")
 
         ledger._disk.sync = full
-        writer = keeper.LedgerWriter(ledger, terms, Log(), lambda lost: None)
-        export = asyncio.create_task(writer.run_exports())
+        ledger_writer = writer.LedgerWriter(ledger, ledger_settings, Log(), lambda lost: None)
+        export = asyncio.create_task(ledger_writer.run_exports())
         async with asyncio.timeout(5):
             while len(failed) < 3:
                 await asyncio.sleep(0.01)
@@ -515,13 +515,13 @@
                 await asyncio.sleep(0.01)
         export.cancel()
         server.close()
-        assert not writer.refuses_requests
+        assert not ledger_writer.refuses_requests
 
-    run(play())
+    run(scenario())
 
 
 def test_a_request_beyond_the_budget_is_refused(tmp_path):
-    async def play():
+    async def scenario():
         text = LEDGER + 'budget("t", tokens = 200, soft = 0.5)\n'
         async with Loopback(tmp_path, text=text) as loop:
             write = loop._group.create_task(loop.daemon.ledger.run_writer())
@@ -532,7 +532,7 @@
             assert loop.daemon.ledger.journal.book.tokens_used(loop.daemon.ledger.period(), "t") <= 200
             write.cancel()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("kind", ["fails", "silent", "slow"])
@@ -540,15 +540,15 @@
     monkeypatch.setattr(book, "MAX_BATCH_ENTRIES", 7)
     monkeypatch.setattr(export.deliver, "__defaults__", (0.2,))
 
-    async def play():
+    async def scenario():
         billing = Billing(tmp_path / "billing", **{kind: 0.3})
         server = await asyncio.start_server(billing.handle_connection, "127.0.0.1", 0)
         url = "http://{}:{}/batches".format(*server.sockets[0].getsockname()[:2])
         ledger = Journal(DiskDirectory(tmp_path / "ledger"), "one")
         ledger.append([usage(number) for number in range(40)])
-        writer = keeper.LedgerWriter(ledger, LedgerSettings(export_to=url), Log(), lambda lost: None)
+        ledger_writer = writer.LedgerWriter(ledger, LedgerSettings(export_to=url), Log(), lambda lost: None)
         for _ in range(200):
-            if not await writer.export_batch() and not ledger.book.planned:
+            if not await ledger_writer.export_batch() and not ledger.book.planned:
                 break
         assert ledger.book.exported >= 40 and not ledger.book.planned
         merged = MergedEntries()
@@ -559,13 +559,13 @@
         assert "conflict" not in events and (kind != "fails" or "failed" in events)
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_two_processes_cannot_open_one_ledger(tmp_path):
-    first = keeper.open_journal(tmp_path)
-    with pytest.raises(keeper.LockedError):
-        keeper.open_journal(tmp_path)
+    first = writer.open_journal(tmp_path)
+    with pytest.raises(writer.LockedError):
+        writer.open_journal(tmp_path)
     assert first.name
 
 
@@ -623,7 +623,7 @@
     """Kills three routers at random under load and during exports, then compares what the billing system
     received with the clients' and the engines' counts."""
 
-    async def play():
+    async def scenario():
         rng = random.Random(seed)
         billing = Billing(path / "billing", seed, fails=0.2, silent=0.1, slow=0.02)
         server = await asyncio.start_server(billing.handle_connection, "127.0.0.1", 0)
@@ -632,13 +632,13 @@
         text += f'ledger(wait = True, export_to = "{url}", export_every = "150ms")\n'
         file = path / "fleet.star"
         file.write_text(text)
-        stage = LocalFleet(script.read(file), file, path, seed)
+        local_fleet = LocalFleet(script.read(file), file, path, seed)
         received = []
 
         async def client(number):
             chat = body(f"{seed} {number}", stream=True, max_tokens=30)
-            name = rng.choice(sorted(stage.routers) or ["r0"])
-            at = stage.router_address(name) if name in stage.routers else "127.0.0.1:1"
+            name = rng.choice(sorted(local_fleet.routers) or ["r0"])
+            at = local_fleet.router_address(name) if name in local_fleet.routers else "127.0.0.1:1"
             try:
                 answer = await send_raw(at, http(chat), within=8)
             except (OSError, TimeoutError):
@@ -658,18 +658,18 @@
                 )
 
         try:
-            await stage.start()
+            await local_fleet.start()
             async with asyncio.TaskGroup() as tasks:
                 for number in range(240):
                     tasks.create_task(client(number))
                     await asyncio.sleep(0.012)
                     if number % 60 == 40:
-                        name = rng.choice(sorted(stage.routers))
-                        await stage.stop_process(name, signal.SIGKILL)
-                        tasks.create_task(stage.start_router(name))
-            await stage.stop()
+                        name = rng.choice(sorted(local_fleet.routers))
+                        await local_fleet.stop_process(name, signal.SIGKILL)
+                        tasks.create_task(local_fleet.start_router(name))
+            await local_fleet.stop()
         finally:
-            await stage.kill_all()
+            await local_fleet.kill_all()
         for at in range(3):  # exports what the kills left in the ledgers
             done = await asyncio.to_thread(
                 lifthead, "ledger", "export", "--dir", path / f"ledger-r{at}", "--to", url
@@ -681,7 +681,7 @@
         server.close()
         return received
 
-    received = asyncio.run(asyncio.wait_for(play(), 90))
+    received = asyncio.run(asyncio.wait_for(scenario(), 90))
     merged = MergedEntries()
     for batch_path in (path / "billing").glob("*.parquet"):
         merged.add(export.read_entries(batch_path))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -140,13 +140,13 @@
 def test_a_request_is_parsed():
     props = "prefix=5c0f,prompt_len=512,prefix_len=128,max_out=80"
     sent = chat(600, X_Props=props, X_Second_Try="again", budget_ms="4800")
-    demand = clients.parse_request(parse_message(sent), 7, GROUPS)
+    spec = clients.parse_request(parse_message(sent), 7, GROUPS)
     assert (
-        demand.id,
-        demand.request_class,
-        demand.budget,
-        demand.prompt_tokens,
-        demand.max_output_tokens,
+        spec.id,
+        spec.request_class,
+        spec.budget,
+        spec.prompt_tokens,
+        spec.max_output_tokens,
     ) == (
         7,
         "ask",
@@ -154,7 +154,7 @@
         512,
         80,
     )
-    assert (demand.prefix_id, demand.prefix_tokens, demand.session, demand.is_retry) == (
+    assert (spec.prefix_id, spec.prefix_tokens, spec.session, spec.is_retry) == (
         "5c0f",
         128,
         "s1",
