--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -24,7 +24,7 @@
 
 
 def test_a_drained_or_stopped_router_gets_no_connections_soon_after(tmp_path):
-    async def play():
+    async def scenario():
         async with Processes(
             tmp_path, TWO_ROUTERS.replace("limits(", 'limits(stop_notice = "400ms", ')
         ) as test_fleet:
@@ -85,11 +85,11 @@
             refused = sum(b"not_ready" in answer for answer in answers)
             assert refused < 0.05 * len(answers)
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def test_a_router_without_decode_engines_gets_no_connections(tmp_path):
-    async def play():
+    async def scenario():
         async with Processes(tmp_path, TWO_ROUTERS) as test_fleet:
             balancer = Balancer(Record(tmp_path / "balancer.jsonl"), 1)
             for name, ready_line in test_fleet.routers.items():
@@ -115,4 +115,4 @@
             )
             assert {state["state"] for state in states} == {"ready"}
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -65,14 +65,14 @@
     if not in_zone:
         return None
 
-    def drawn(engines):
+    def draw_by_weight(engines):
         return router.random.choices(engines, [engine.weight for engine in engines])[0]
 
-    candidate = drawn(in_zone)
+    candidate = draw_by_weight(in_zone)
     if zone in router.cell_splits:
         cell = router.cell_splits[zone].choose(cell, router.random.random())
     in_cell = [engine for engine in in_zone if engine.cell == cell]
-    preferred = drawn(in_cell) if in_cell else drawn(in_zone)
+    preferred = draw_by_weight(in_cell) if in_cell else draw_by_weight(in_zone)
     return (
         candidate
         if router._reserved_share(preferred)
@@ -81,55 +81,55 @@
     )
 
 
-def fleet(chance, sizes=(1, 3, 8, 40)):
+def fleet(rng, sizes=(1, 3, 8, 40)):
     """A router that knows a fleet in some random state, and a request."""
-    size = chance.choice(sizes)
+    size = rng.choice(sizes)
     started = [0, 0, 99_000_000]
     entries = [
-        entry(f"{chance.choice('RWWB')}{n}", chance.choice("abc"), n // 4, up_since=chance.choice(started))
+        entry(f"{rng.choice('RWWB')}{n}", rng.choice("abc"), n // 4, up_since=rng.choice(started))
         for n in range(size)
     ]
-    entries = [replace(each, weight=chance.choice([1.0, 0.5, 2.0])) for each in entries]
+    entries = [replace(each, weight=rng.choice([1.0, 0.5, 2.0])) for each in entries]
     host = RecordingHost(*entries)
     router, now = host.router, host.clock
     for _ in range(40):
-        router.pace["prefill"].add(chance.randint(1000, 90_000))
-        router.pace["decode"].add(chance.randint(1000, 90_000))
+        router.pace["prefill"].add(rng.randint(1000, 90_000))
+        router.pace["decode"].add(rng.randint(1000, 90_000))
     for engine in router.engines.values():
-        engine.ejections = chance.choice([0, 0, 0, 1, 2])
-        engine.consecutive_failures = chance.choice([0, 0, 0, 1, 2])
-        engine.next_trial_at = now + chance.choice([-1, 1])
+        engine.ejections = rng.choice([0, 0, 0, 1, 2])
+        engine.consecutive_failures = rng.choice([0, 0, 0, 1, 2])
+        engine.next_trial_at = now + rng.choice([-1, 1])
         engine.reserved_tokens, engine.pending_prefill_tokens = (
-            chance.randint(0, 120_000),
-            chance.choice([0, 0, 9000, 60_000]),
+            rng.randint(0, 120_000),
+            rng.choice([0, 0, 9000, 60_000]),
         )
-        engine.heard_at = now - chance.choice([0, 60_000_000])
-        if chance.random() < 0.2:
-            engine.backoff_until["chat"] = now + chance.choice([-1, 1])
-        if chance.random() < 0.5:
-            load = report(memory_used=chance.random() * 1.3, queued=chance.choice([0.0, 2.0]))
+        engine.heard_at = now - rng.choice([0, 60_000_000])
+        if rng.random() < 0.2:
+            engine.backoff_until["chat"] = now + rng.choice([-1, 1])
+        if rng.random() < 0.5:
+            load = report(memory_used=rng.random() * 1.3, queued=rng.choice([0.0, 2.0]))
             engine.report, engine.report_at = load, now
-        for number in range(chance.choice([0, 0, 1, 3])):
-            sent_at = now - chance.choice([1000, 50_000_000])
+        for number in range(rng.choice([0, 0, 1, 3])):
+            sent_at = now - rng.choice([1000, 50_000_000])
             engine.unanswered[number, 0] = Attempt(
                 number, 0, engine, sent_at, 5, 5, 5000, engine.role == "read", True, 2_000_000
             )
             heappush(router.ttft_deadlines, (sent_at + 2_000_000, number, len(router.ttft_deadlines), engine))
         for key in ("p", "s", "q"):
-            if chance.random() < 0.2:
+            if rng.random() < 0.2:
                 router.prefix_holders.add(engine, key, 4000)
         router.suspects[engine] = None  # examined, whatever its state
     request_id = host.request(
-        prompt=chance.choice([900, 5000, 20_000]), request_class=chance.choice(["chat", "pay", "mark"])
+        prompt=rng.choice([900, 5000, 20_000]), request_class=rng.choice(["chat", "pay", "mark"])
     )
     request = router.requests.get(request_id)
     if request is None:
         return None
-    request.tried_engines = set(chance.sample(sorted(router.engines), chance.randint(0, min(2, size))))
-    if request.idempotency is Idempotency.WITH_KEY and chance.random() < 0.5:
+    request.tried_engines = set(rng.sample(sorted(router.engines), rng.randint(0, min(2, size))))
+    if request.idempotency is Idempotency.WITH_KEY and rng.random() < 0.5:
         request.may_have_run_on, request.repeat_until = (
-            chance.choice(list(router.engines.values())),
-            now + chance.choice([-1, 1]),
+            rng.choice(list(router.engines.values())),
+            now + rng.choice([-1, 1]),
         )
     return router, request
 
@@ -146,11 +146,11 @@
 
 @pytest.mark.parametrize("seed", range(300))
 def test_optimised_choices_equal_the_reference(seed):
-    chance = random.Random(seed)
-    made = fleet(chance)
+    rng = random.Random(seed)
+    made = fleet(rng)
     if made is None:
         return
-    home, cell = chance.choice("abc"), chance.randint(0, 9)
+    home, cell = rng.choice("abc"), rng.randint(0, 9)
     for optimised, reference in (
         (lambda r, q: eligible(r, q, True), lambda r, q: [e.name for e in usable(r, r.prefill_engines, q)]),
         (lambda r, q: eligible(r, q, False), lambda r, q: [e.name for e in usable(r, r.decode_engines, q)]),
@@ -171,11 +171,11 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_sampled_draws_are_distributed_like_the_reference(seed):
-    chance = random.Random(seed)
-    made = fleet(chance, sizes=(100, 160))  # zones of more than SAMPLE_SIZE decode engines
+    rng = random.Random(seed)
+    made = fleet(rng, sizes=(100, 160))  # zones of more than SAMPLE_SIZE decode engines
     if made is None:
         return
-    zone, cell, times = chance.choice("abc"), chance.randint(0, 9), 400
+    zone, cell, times = rng.choice("abc"), rng.randint(0, 9), 400
     router, request = made
     counts = {}
     for number, draws in enumerate((lambda: router._choose_decode_engine(request, zone, cell, prefills=False),
@@ -190,26 +190,26 @@
 
 def after_random_events(events, seed):
     """The router of a host after random events, and the time."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     host = RecordingHost(*(
-        entry(f"{kind}{n}", "ab"[n % 2], n // 4, up_since=chance.choice([0, 0, 95_000_000]))
+        entry(f"{kind}{n}", "ab"[n % 2], n // 4, up_since=rng.choice([0, 0, 95_000_000]))
         for n, kind in enumerate("RWWB" * 4)
     ))  # fmt: skip
     for _ in range(events):
-        host.clock += chance.choice([1000, 100_000, 3_000_000])
+        host.clock += rng.choice([1000, 100_000, 3_000_000])
         draw, in_flight = (
-            chance.random(),
+            rng.random(),
             [request for request in host.router.requests.values() if request.in_flight],
         )
         if draw < 0.4 or not in_flight:
-            host.request(chance.choice([900, 6000]), session=str(chance.randrange(9)), prefix="")
+            host.request(rng.choice([900, 6000]), session=str(rng.randrange(9)), prefix="")
         else:
-            request = chance.choice(in_flight)
+            request = rng.choice(in_flight)
             attempt = request.in_flight
             if draw < 0.55:
                 host.router.on_first_token(request.spec.id, attempt.number, 50_000)
             else:
-                outcome = chance.choice([
+                outcome = rng.choice([
                     AttemptOutcome.PREFILLED if attempt.is_prefill else AttemptOutcome.COMPLETED,
                     AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_LOST,
                     AttemptOutcome.NOT_SENT,
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -38,42 +38,50 @@
 class FleetRouter(RecordingHost):
     """One router of the fleet, with timers and engines on the fleet's clock."""
 
-    def __init__(self, fleet, **changes):
+    def __init__(self, fleet, **host_settings):
         self.fleet = fleet
-        super().__init__(*fleet.entries, **changes)
+        super().__init__(*fleet.entries, **host_settings)
 
     def now(self):
         return self.fleet.clock
 
     def set_timer(self, after, key):
-        self.fleet.at(self.fleet.clock + max(after, 1), self.call_router, "on_timer", key)
+        self.fleet.call_at(self.fleet.clock + max(after, 1), self.call_router, "on_timer", key)
 
     def call_router(self, method, *args):
         getattr(self.router, method)(*args)
 
     def probe(self, engine):
-        self.fleet.at(self.fleet.clock + 1000, self._probed, engine)
+        self.fleet.call_at(self.fleet.clock + 1000, self._report_load, engine)
 
-    def _probed(self, engine):
+    def _report_load(self, engine):
         self.router.on_load_report(engine, self.fleet.report(engine))
 
     def start_attempt(self, request_id, engine, abandon_at, send_by):
         super().start_attempt(request_id, engine, abandon_at, send_by)
         number = len(self.sent_to[request_id]) - 1
         if engine[0] == "R":
-            took, found = self.fleet.prefill(engine, self.fleet.requests[self, request_id])
-            self.fleet.at(self.fleet.clock + took, self._prefilled, request_id, number, engine, took, found)
+            duration, cached_tokens = self.fleet.prefill(engine, self.fleet.requests[self, request_id])
+            self.fleet.call_at(
+                self.fleet.clock + duration,
+                self._prefilled,
+                request_id,
+                number,
+                engine,
+                duration,
+                cached_tokens,
+            )
         else:
-            self.fleet.at(self.fleet.clock + FETCH, self._first_token, request_id, number, engine)
+            self.fleet.call_at(self.fleet.clock + FETCH, self._first_token, request_id, number, engine)
 
-    def _end(self, request_id, number, engine, outcome, took, detail, final):
+    def _end(self, request_id, number, engine, outcome, duration, detail, final):
         report = self.fleet.report(engine) if self.fleet.reports == "answers" else None
-        self.router.on_attempt_ended(request_id, number, engine, outcome, took, detail, final, report)
+        self.router.on_attempt_ended(request_id, number, engine, outcome, duration, detail, final, report)
 
-    def _prefilled(self, request_id, number, engine, took, found):
+    def _prefilled(self, request_id, number, engine, duration, cached_tokens):
         if self.cancelled(request_id, number):
             return
-        self._end(request_id, number, engine, AttemptOutcome.PREFILLED, took, found, False)
+        self._end(request_id, number, engine, AttemptOutcome.PREFILLED, duration, cached_tokens, False)
 
     def _first_token(self, request_id, number, engine):
         if self.cancelled(request_id, number):
@@ -81,7 +89,7 @@
         self.fleet.requests[self, request_id].answered = True
         self.router.on_first_token(request_id, number, FETCH)
         done = (request_id, number, engine, AttemptOutcome.COMPLETED, STREAM, 0, True)
-        self.fleet.at(self.fleet.clock + STREAM, self._end, *done)
+        self.fleet.call_at(self.fleet.clock + STREAM, self._end, *done)
 
     def cancelled(self, request_id, number):
         """Whether the attempt was cancelled; its end is reported then."""
@@ -95,9 +103,9 @@
 
 class Fleet:
     def __init__(self, settings, seed, routers=6, engines=6):
-        target, grows, self.patience, self.reports = SETTINGS[settings]
+        target, target_growth, self.patience, self.reports = SETTINGS[settings]
         self.random, self.clock = random.Random(seed), 100_000_000
-        self.heap, self.serial = [], count()
+        self.events, self.serial = [], count()
         names = [f"R{n}" for n in range(engines)] + [f"W{n}" for n in range(engines)]
         self.entries = [entry(name) for name in names]
         self.free_at = dict.fromkeys(names, 0)
@@ -105,16 +113,16 @@
         self.requests = {}
         on_probe = self.reports == "probes"
         request_class = replace(
-            REQUEST_CLASS, ttft_target=target, ttft_target_per_1000=grows, deadline=self.patience
+            REQUEST_CLASS, ttft_target=target, ttft_target_per_1000=target_growth, deadline=self.patience
         )
-        changes = {
+        host_settings = {
             "request_classes": {"chat": request_class}, "routers": routers, "decode_engines_prefill": False,
             "tenants": {}, "may_probe": on_probe, "reports_on_probe": on_probe,
         }  # fmt: skip
-        self.routers = [FleetRouter(self, seed=seed * 100 + n, **changes) for n in range(routers)]
+        self.routers = [FleetRouter(self, seed=seed * 100 + n, **host_settings) for n in range(routers)]
 
-    def at(self, when, what, *args):
-        heappush(self.heap, (when, next(self.serial), what, args))
+    def call_at(self, when, what, *args):
+        heappush(self.events, (when, next(self.serial), what, args))
 
     def report(self, engine):
         backlog = max(self.free_at[engine] - self.clock, 0) * SPEED // 1_000_000
@@ -123,11 +131,11 @@
         )
 
     def prefill(self, engine, sent):
-        found = min(self.cached[engine][sent.session], sent.prompt)
+        cached_tokens = min(self.cached[engine][sent.session], sent.prompt)
         self.cached[engine][sent.session] = sent.prompt
         began = max(self.free_at[engine], self.clock)
-        self.free_at[engine] = began + OVERHEAD + (sent.prompt - found) * 1_000_000 // SPEED
-        return self.free_at[engine] - self.clock, found
+        self.free_at[engine] = began + OVERHEAD + (sent.prompt - cached_tokens) * 1_000_000 // SPEED
+        return self.free_at[engine] - self.clock, cached_tokens
 
     def send(self, sent, prefix=("", 0)):
         router_host = self.random.choice(self.routers)
@@ -138,17 +146,17 @@
         )
         router_host.router.on_request(spec)
 
-    def play(self, until):
-        while self.heap and self.heap[0][0] <= until:
-            self.clock, _, what, args = heappop(self.heap)
+    def run_until(self, until):
+        while self.events and self.events[0][0] <= until:
+            self.clock, _, what, args = heappop(self.events)
             what(*args)
         self.clock = until
 
 
-def prompts(chance, middle, sigma, most):
+def prompts(rng, median, sigma, maximum):
     while True:
-        drawn = int(chance.lognormvariate(0, sigma) * middle)
-        if 4200 <= drawn <= most:
+        drawn = int(rng.lognormvariate(0, sigma) * median)
+        if 4200 <= drawn <= maximum:
             yield drawn
 
 
@@ -158,14 +166,14 @@
     """The longest tenth of the prompts, and the next fifth, are served at least two thirds as often as
     all."""
     fleet = Fleet(settings, seed)
-    chance = fleet.random
-    drawn = prompts(chance, 6000, 0.7, 45_000)
+    rng = fleet.random
+    drawn = prompts(rng, 6000, 0.7, 45_000)
     sent, rate = [], 0.45 * 6 * SPEED / 9000
     for n in range(1200):
-        fleet.play(fleet.clock + int(chance.expovariate(rate) * 1e6))
+        fleet.run_until(fleet.clock + int(rng.expovariate(rate) * 1e6))
         sent.append(Sent(f"s{n}", next(drawn)))
         fleet.send(sent[-1])
-    fleet.play(fleet.clock + 20_000_000)
+    fleet.run_until(fleet.clock + 20_000_000)
     sent = sent[200:]  # the first ones train the routers' pace measurements
     sent.sort(key=lambda each: -each.prompt)
     shares = [sum(each.answered for each in part) / len(part) for part in (sent, sent[:100], sent[100:300])]
@@ -177,19 +185,19 @@
 def test_no_sessions_are_rejected_throughout_while_there_is_room(settings, seed):
     """A third of the sessions share one prefix, and all of these hash to one prefill engine."""
     fleet = Fleet(settings, seed)
-    chance = fleet.random
+    rng = fleet.random
     sessions, sent, rate = [], [], 0.5 * 6 * SPEED / 5000
     for n in range(2400):
-        fleet.play(fleet.clock + int(chance.expovariate(rate) * 1e6))
-        if len(sessions) < 20 or chance.random() < 0.4:
-            hot = chance.random() < 0.33
-            sessions.append([f"s{n}", hot, chance.randint(4200, 7000), []])
-        session = chance.choice(sessions[-40:])
+        fleet.run_until(fleet.clock + int(rng.expovariate(rate) * 1e6))
+        if len(sessions) < 20 or rng.random() < 0.4:
+            hot = rng.random() < 0.33
+            sessions.append([f"s{n}", hot, rng.randint(4200, 7000), []])
+        session = rng.choice(sessions[-40:])
         session[2] += 300
         sent.append(Sent(session[0], session[2]))
         session[3].append(sent[-1])
         fleet.send(sent[-1], ("hot", session[2] * 6 // 10) if session[1] else ("", 0))
-    fleet.play(fleet.clock + 20_000_000)
+    fleet.run_until(fleet.clock + 20_000_000)
     sessions = [turns for *_, turns in sessions[40:] if turns]
     rejected = sum(not each.answered for turns in sessions for each in turns)
     share = rejected / sum(map(len, sessions))
--- a/tests/test_fault_reproductions.py
+++ b/tests/test_fault_reproductions.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from runs import run_until_judged
+from runs import run_until_conclusive
 
 from lifthead.standins.faults.reproductions import REPRODUCTIONS, REQUESTS, SLOW_ENGINES, run_reproduction
 
@@ -26,7 +26,7 @@
         async def run_one(reproduction):
             path, source = tmp_path_factory.mktemp(reproduction.name), Path(__file__).parent.parent
             async with slots, asyncio.timeout(RUN_TIMEOUT):
-                return await run_until_judged(
+                return await run_until_conclusive(
                     lambda number: run_reproduction(reproduction, path / str(number), source)
                 )
 
@@ -62,7 +62,7 @@
 
 
 @EACH_REPRODUCTION
-def test_the_other_rules_hold_and_the_router_ends_well(outcome, name):
+def test_the_other_rules_hold_and_the_router_exits_cleanly(outcome, name):
     assert breaches_of(outcome, 1, 2, 3) == []
     assert outcome.violations == 0 and "Traceback" not in outcome.log
     assert all(code == 0 for code in outcome.exit_codes)
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("group", SLOW_ENGINES)
-def test_a_state_is_over_only_when_its_holder_says_so(outcomes, group):
+def test_a_state_counts_as_ended_only_when_its_holder_confirms_it(outcomes, group):
     assert [each.name for each in SLOW_ENGINES[group] if outcomes[each.name].inconclusive] == []
     assert {each.name: breaches_of(outcomes[each.name], 5) for each in SLOW_ENGINES[group]} == {
         each.name: [] for each in SLOW_ENGINES[group]
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("group", SLOW_ENGINES)
-def test_slow_engines_cost_no_other_rule_and_few_requests(outcomes, group):
+def test_slow_engines_break_no_other_rule_and_cost_few_requests(outcomes, group):
     for each in SLOW_ENGINES[group]:
         outcome = outcomes[each.name]
         assert outcome.served >= each.served, each.name
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from runs import run_until_judged
+from runs import run_until_conclusive
 
 from lifthead.standins.faults import settings
 from lifthead.standins.faults.checker import find_breaches
@@ -21,7 +21,7 @@
 def test_no_rule_is_broken_while_faults_overlap(seed, tmp_path):
     source = Path(__file__).parent.parent
     result = asyncio.run(
-        run_until_judged(lambda number: run_schedule(draw_schedule(seed), tmp_path / str(number), source))
+        run_until_conclusive(lambda number: run_schedule(draw_schedule(seed), tmp_path / str(number), source))
     )
     assert result.passed and not result.inconclusive, str(result)
     assert result.processes >= 10 and result.outcomes["whole"] > sum(result.outcomes.values()) / 2
@@ -91,7 +91,7 @@
 ]
 
 
-def rules(*lines):
+def broken_rules(*lines):
     return [breach.rule for breach in find_breaches([*PREFILLED, *lines])]
 
 
@@ -99,34 +99,34 @@
     return at_engine(at, "arrived", engine, port=port, qos=settings.IDEMPOTENT)
 
 
-@pytest.mark.parametrize(("at", "broken"), [(600_000, []), (900_000, [5])])
-def test_a_state_has_to_be_claimed_by_what_arrives_in_time(at, broken):
-    assert rules(arrived(at), at_engine(at + 1, "taken", "p0"), answered(2 * SECOND)) == broken
-    assert rules(at_engine(at, "released", "p0"), answered(2 * SECOND)) == broken
+@pytest.mark.parametrize(("at", "expected"), [(600_000, []), (900_000, [5])])
+def test_a_state_has_to_be_taken_or_released_in_time(at, expected):
+    assert broken_rules(arrived(at), at_engine(at + 1, "taken", "p0"), answered(2 * SECOND)) == expected
+    assert broken_rules(at_engine(at, "released", "p0"), answered(2 * SECOND)) == expected
 
 
-def test_a_release_that_arrives_ends_a_state_only_if_its_holder_says_so():
+def test_a_release_that_arrives_ends_a_state_only_if_its_holder_confirms_it():
     arrives = at_engine(300_000, "release_arrived", "d0")
-    assert rules(arrives, answered(2 * SECOND)) == [5]
-    assert rules(arrives, at_engine(300_001, "released", "p0"), answered(2 * SECOND)) == []
+    assert broken_rules(arrives, answered(2 * SECOND)) == [5]
+    assert broken_rules(arrives, at_engine(300_001, "released", "p0"), answered(2 * SECOND)) == []
     stopped = line(200_000, "signal", name="p0", signal="SIGSTOP")  # the holder records it when it continues
-    assert rules(stopped, arrives, answered(2 * SECOND)) == []
+    assert broken_rules(stopped, arrives, answered(2 * SECOND)) == []
 
 
 def test_a_call_that_its_engine_sees_closed_late_claims_the_state_until_then():
     opened = on_connection(150_000, "opened", "d0") | {"port": 8}
     closed = on_connection(250_000, "router_closed", "d0")
     over = at_engine(700_000, "over", "d0", port=8)
-    told = [opened, arrived(200_000), closed, at_engine(270_000, "release_arrived", "d0"), over]
-    assert rules(*told, answered(2 * SECOND)) == [5]
-    assert rules(*told, at_engine(900_000, "released", "p0"), answered(2 * SECOND)) == []
+    call = [opened, arrived(200_000), closed, at_engine(270_000, "release_arrived", "d0"), over]
+    assert broken_rules(*call, answered(2 * SECOND)) == [5]
+    assert broken_rules(*call, at_engine(900_000, "released", "p0"), answered(2 * SECOND)) == []
 
 
 def test_a_state_that_nothing_claims_is_a_breach_and_so_is_one_left_by_a_call_that_was_closed():
-    assert rules(answered(2 * SECOND)) == [5]
+    assert broken_rules(answered(2 * SECOND)) == [5]
     opened = on_connection(150_000, "opened", "d0") | {"port": 8}
     closed = on_connection(250_000, "router_closed", "d0")
-    assert rules(opened, arrived(200_000), closed, answered(2 * SECOND)) == [5]
+    assert broken_rules(opened, arrived(200_000), closed, answered(2 * SECOND)) == [5]
 
 
 def test_a_call_that_is_read_late_and_waits_for_the_state_claims_it_until_its_engine_is_done():
@@ -134,8 +134,8 @@
     closed = on_connection(250_000, "router_closed", "d0")
     late = [opened, closed, arrived(300_000), at_engine(310_000, "waiting", "d0", port=8)]
     over = at_engine(900_000, "over", "d0", port=8)
-    assert rules(*late, over, at_engine(1_100_000, "released", "p0"), answered(3 * SECOND)) == []
-    assert rules(*late, over, answered(3 * SECOND)) == [5]
+    assert broken_rules(*late, over, at_engine(1_100_000, "released", "p0"), answered(3 * SECOND)) == []
+    assert broken_rules(*late, over, answered(3 * SECOND)) == [5]
 
 
 def test_a_call_that_its_engine_keeps_claims_the_state_beside_a_later_one_that_is_over():
@@ -144,67 +144,69 @@
     kept = [opened, arrived(200_000), closed, at_engine(2 * SECOND, "over", "d0", port=8)]
     later = [arrived(300_000, "d1", 9), at_engine(SECOND, "over", "d1", port=9)]
     released = at_engine(2 * SECOND + 200_000, "released", "p0")
-    assert rules(*kept, *later, released, answered(3 * SECOND)) == []
-    assert rules(*kept, *later, answered(3 * SECOND)) == [5]
+    assert broken_rules(*kept, *later, released, answered(3 * SECOND)) == []
+    assert broken_rules(*kept, *later, answered(3 * SECOND)) == [5]
 
 
 def test_a_call_that_is_read_only_after_its_router_closed_it_claims_nothing():
     opened = on_connection(150_000, "opened", "d0") | {"port": 8}
     closed = on_connection(250_000, "router_closed", "d0")
-    assert rules(opened, closed, arrived(400_000), answered(2 * SECOND)) == [5]
+    assert broken_rules(opened, closed, arrived(400_000), answered(2 * SECOND)) == [5]
 
 
-def test_a_call_in_flight_stops_the_clock():
-    assert rules(arrived(200_000), at_engine(3 * SECOND, "taken", "p0"), answered(4 * SECOND)) == []
+def test_a_call_in_flight_claims_the_state_however_long_it_takes():
+    assert broken_rules(arrived(200_000), at_engine(3 * SECOND, "taken", "p0"), answered(4 * SECOND)) == []
 
 
 def test_two_attempts_that_are_both_open_are_a_breach():
     claimed = [arrived(200_000), arrived(300_000, "d1", 9), at_engine(310_000, "taken", "p0")]
-    assert rules(*claimed, answered(SECOND)) == [2]
+    assert broken_rules(*claimed, answered(SECOND)) == [2]
 
 
-@pytest.mark.parametrize(("qos", "broken"), [(settings.IDEMPOTENT, []), (settings.NON_IDEMPOTENT, [2])])
-def test_an_unsafe_request_that_runs_twice_is_a_breach(qos, broken):
+@pytest.mark.parametrize(("qos", "expected"), [(settings.IDEMPOTENT, []), (settings.NON_IDEMPOTENT, [2])])
+def test_a_non_idempotent_request_that_runs_twice_is_a_breach(qos, expected):
     runs = [at_engine(at, "ran", engine, qos=qos) for at, engine in ((1, "d0"), (2, "d1"))]
-    assert [breach.rule for breach in find_breaches([asked(qos=qos), *runs, answered(3)])] == broken
+    assert [breach.rule for breach in find_breaches([asked(qos=qos), *runs, answered(3)])] == expected
 
 
 @pytest.mark.parametrize(
-    ("outcome", "at", "broken"),
+    ("outcome", "at", "expected"),
     [("nothing", 6.5, [1]), ("closed", 1, [1]), ("503", 5.4, []), ("503", 5.6, [1]), ("left", 9, [])],
 )
-def test_a_final_answer_is_owed_in_the_budget(outcome, at, broken):
+def test_a_final_answer_is_due_within_the_budget(outcome, at, expected):
     lines = [asked(), answered(int(at * SECOND), outcome)]
-    assert [breach.rule for breach in find_breaches(lines)] == broken
+    assert [breach.rule for breach in find_breaches(lines)] == expected
 
 
-def test_what_is_sent_after_the_end_is_a_breach():
+def test_an_attempt_sent_after_the_final_answer_is_a_breach():
     sent = on_connection(2 * SECOND, "sent", "d0") | {"request": "r"}
     assert [breach.rule for breach in find_breaches([asked(), answered(SECOND), sent])] == [1]
 
 
-@pytest.mark.parametrize(("after", "broken"), [(1.2, []), (1.4, [3])])
-def test_a_draining_engine_gets_nothing_after_the_grace(after, broken):
-    told = line(SECOND, "told", router="n0", version=2, states={"d0": "draining"})
+@pytest.mark.parametrize(("after", "expected"), [(1.2, []), (1.4, [3])])
+def test_a_draining_engine_gets_nothing_after_the_grace_period(after, expected):
+    update = line(SECOND, "told", router="n0", version=2, states={"d0": "draining"})
     sent = on_connection(int((1 + after) * SECOND), "sent", "d0") | {"request": "r"}
-    assert [breach.rule for breach in find_breaches([asked(), told, sent, answered(4 * SECOND)])] == broken
+    assert [
+        breach.rule for breach in find_breaches([asked(), update, sent, answered(4 * SECOND)])
+    ] == expected
 
 
-@pytest.mark.parametrize(("asked_at", "broken"), [(0, []), (1.6, []), (1.8, [1])])
-def test_a_kill_at_the_end_of_a_stop_excuses_what_came_before_its_last_moments(asked_at, broken):
+@pytest.mark.parametrize(("asked_at", "expected"), [(0, []), (1.6, []), (1.8, [1])])
+def test_a_kill_at_the_end_of_a_stop_excuses_only_requests_that_came_well_before_it(asked_at, expected):
     stopping = line(SECOND, "stopping", name="n0")
     killed = line(4 * SECOND, "killed", name="n0", planned=True)
     lines = [asked(int(asked_at * SECOND)), stopping, killed, answered(4 * SECOND + 1, "closed")]
-    assert [breach.rule for breach in find_breaches(lines)] == broken
+    assert [breach.rule for breach in find_breaches(lines)] == expected
 
 
-def test_a_state_for_which_a_killed_engine_waited_is_no_verdict():
+def test_a_state_that_a_killed_engine_waited_for_is_no_breach():
     waiting = [arrived(200_000), at_engine(200_001, "waiting", "d0", port=8)]
     killed = line(300_000, "killed", name="d0", planned=False)
-    assert rules(*waiting, killed, answered(2 * SECOND)) == []
-    assert rules(*waiting, at_engine(300_000, "over", "d0", port=8), answered(2 * SECOND)) == [5]
+    assert broken_rules(*waiting, killed, answered(2 * SECOND)) == []
+    assert broken_rules(*waiting, at_engine(300_000, "over", "d0", port=8), answered(2 * SECOND)) == [5]
 
 
-def test_a_router_that_was_killed_owes_nothing():
+def test_no_answer_or_release_is_due_from_a_killed_router():
     killed = line(500_000, "killed", name="n0")
-    assert rules(killed, answered(500_001, "closed")) == []
+    assert broken_rules(killed, answered(500_001, "closed")) == []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -25,26 +25,26 @@
     def __init__(self, path, text=SCRIPT):
         self.file = path / "fleet.star"
         self.file.write_text(text)
-        self.stage = LocalFleet(script.read(self.file), self.file, path, 1)
+        self.local_fleet = LocalFleet(script.read(self.file), self.file, path, 1)
 
     async def __aenter__(self):
-        await self.stage.start()
-        return self.stage
+        await self.local_fleet.start()
+        return self.local_fleet
 
     async def __aexit__(self, *_):
-        await self.stage.kill_all()
+        await self.local_fleet.kill_all()
 
 
 def run(coroutine):
     return asyncio.run(asyncio.wait_for(coroutine, 60))
 
 
-def address(stage):
-    return stage.router_address("r")
+def address(local_fleet):
+    return local_fleet.router_address("r")
 
 
-async def agent_check(stage):
-    host, _, port = stage.routers["r"]["agent"].rpartition(":")
+async def agent_check(local_fleet):
+    host, _, port = local_fleet.routers["r"]["agent"].rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     reply = await reader.read(-1)
     writer.close()
@@ -61,9 +61,9 @@
 
 
 def test_the_public_client_library_is_served_unchanged(tmp_path):
-    async def play():
-        async with Processes(tmp_path) as stage:
-            url = stage.routers["r"]["base_url"]
+    async def scenario():
+        async with Processes(tmp_path) as local_fleet:
+            url = local_fleet.routers["r"]["base_url"]
             client = openai.AsyncOpenAI(base_url=url, api_key=KEY, max_retries=0)
             question = {
                 "model": "m",
@@ -89,13 +89,13 @@
             with pytest.raises(openai.AuthenticationError):
                 await client.with_options(api_key="nobody-knows").chat.completions.create(**question)
             for name in ("wr", "wr2"):
-                await stage.inject_fault(name, "full", 30_000_000, 1.0, 1.0, "chat")
+                await local_fleet.inject_fault(name, "full", 30_000_000, 1.0, 1.0, "chat")
             with pytest.raises(openai.InternalServerError) as problem:
                 await client.chat.completions.create(**question)
             assert problem.value.status_code == 503 and "retry-after" in problem.value.response.headers
             for name in ("wr", "wr2"):
-                await stage.inject_fault(name, "full", 0, 1.0, 1.0, "chat")
-                await stage.inject_fault(name, "reset", 30_000_000, 1.0, 1.0, "")
+                await local_fleet.inject_fault(name, "full", 0, 1.0, 1.0, "chat")
+                await local_fleet.inject_fault(name, "reset", 30_000_000, 1.0, 1.0, "")
             with pytest.raises(openai.APIError):
                 for _ in range(8):  # the reset falls at random before the first token or within the stream
                     async for _ in await client.chat.completions.create(
@@ -103,15 +103,15 @@
                     ):
                         pass
 
-    run(play())
+    run(scenario())
 
 
 def test_a_stop_answers_every_request_whatever_its_progress(tmp_path):
-    async def play():
-        async with Processes(tmp_path) as stage:
-            await stage.inject_fault("rd", "slow", 30_000_000, 1.0, 8.0, "")
-            await stage.inject_fault("wr", "slow", 30_000_000, 1.0, 6.0, "")
-            router = address(stage)
+    async def scenario():
+        async with Processes(tmp_path) as local_fleet:
+            await local_fleet.inject_fault("rd", "slow", 30_000_000, 1.0, 8.0, "")
+            await local_fleet.inject_fault("wr", "slow", 30_000_000, 1.0, 6.0, "")
+            router = address(local_fleet)
             requests = [
                 asyncio.create_task(
                     send_raw(router, http(body(text, stream=stream, max_tokens=30)), within=15)
@@ -121,9 +121,9 @@
                 for _ in range(10)
             ]
             await asyncio.sleep(0.4)
-            state = await admin.ask(stage.routers["r"]["admin"], {"ask": "stop"})
+            state = await admin.ask(local_fleet.routers["r"]["admin"], {"ask": "stop"})
             assert state["reqs"] >= 20 and state["state"] == "drain"
-            assert await agent_check(stage) == b"drain\n"
+            assert await agent_check(local_fleet) == b"drain\n"
             with pytest.raises(OSError):
                 await asyncio.sleep(0.1)
                 await asyncio.open_connection(*router.split(":"))
@@ -132,22 +132,22 @@
             statuses = [int(answer.split()[1]) for answer in answers]
             assert set(statuses) <= {200, 503, 504}
             assert all(b"[DONE]" in answer for answer in answers if b"event-stream" in answer)
-            process = stage._processes["r"]
+            process = local_fleet._processes["r"]
             assert await process.wait() == 0
-            assert not Path(stage.routers["r"]["admin"]).exists()
+            assert not Path(local_fleet.routers["r"]["admin"]).exists()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_killed_router_is_reported_dead_and_comes_back(tmp_path):
-    async def play():
-        async with Processes(tmp_path) as stage:
+    async def scenario():
+        async with Processes(tmp_path) as local_fleet:
             requests = [
-                asyncio.create_task(send_raw(address(stage), http(body(stream=True, max_tokens=400))))
+                asyncio.create_task(send_raw(address(local_fleet), http(body(stream=True, max_tokens=400))))
                 for _ in range(5)
             ]
             await asyncio.sleep(0.2)
-            await stage.stop_process("r", signal.SIGKILL)
+            await local_fleet.stop_process("r", signal.SIGKILL)
             for answer in await asyncio.gather(*requests, return_exceptions=True):
                 assert isinstance(answer, OSError) or b"[DONE]" not in answer
             began = time.monotonic()
@@ -158,39 +158,46 @@
                 and json.loads(command.stdout) == [{"name": "r", "state": "dead"}]
                 and took < 2
             )
-            await stage.start_router("r")
-            assert b"[DONE]" in await send_raw(address(stage), http(body(stream=True)))
+            await local_fleet.start_router("r")
+            assert b"[DONE]" in await send_raw(address(local_fleet), http(body(stream=True)))
             command = await asyncio.to_thread(lifthead, "routers", "--run", tmp_path, "--json")
             assert command.returncode == 0 and json.loads(command.stdout)[0]["state"] == "ready"
 
-    run(play())
+    run(scenario())
 
 
 def test_drain_undo_health_pages_and_engines(tmp_path):
-    async def play():
-        async with Processes(tmp_path) as stage:
-            health = stage.routers["r"]["health"]
-            assert (await call(health, "GET", "/ready"))[0] == 200 and await agent_check(stage) == b"ready\n"
+    async def scenario():
+        async with Processes(tmp_path) as local_fleet:
+            health = local_fleet.routers["r"]["health"]
+            assert (await call(health, "GET", "/ready"))[0] == 200 and await agent_check(
+                local_fleet
+            ) == b"ready\n"
             assert (
                 await asyncio.to_thread(lifthead, "drain", "r", "--run", tmp_path, "--json")
             ).returncode == 0
-            assert (await call(health, "GET", "/ready"))[0] == 503 and await agent_check(stage) == b"drain\n"
+            assert (await call(health, "GET", "/ready"))[0] == 503 and await agent_check(
+                local_fleet
+            ) == b"drain\n"
             assert (await call(health, "GET", "/live"))[0] == 200
-            assert b"not_ready" in await send_raw(address(stage), http(body()))
+            assert b"not_ready" in await send_raw(address(local_fleet), http(body()))
             await asyncio.to_thread(lifthead, "drain", "r", "--undo", "--run", tmp_path)
             assert (await call(health, "GET", "/ready"))[0] == 200
-            assert b"[DONE]" in await send_raw(address(stage), http(body(stream=True)))
+            assert b"[DONE]" in await send_raw(address(local_fleet), http(body(stream=True)))
             assert b"lifthead_reqs_ended_total" in (await call(health, "GET", "/metrics"))[1]
             assert (await call(health, "GET", "/none"))[0] == 404
             engines = json.loads(
                 (await asyncio.to_thread(lifthead, "engines", "--run", tmp_path, "--json")).stdout
             )
             assert [row["name"] for row in engines["r"]] == ["rd", "wr", "wr2"]
-            await stage.publish_readiness("gone", "wr", "wr2")
+            await local_fleet.publish_readiness("gone", "wr", "wr2")
             await asyncio.sleep(0.2)
-            assert await agent_check(stage) == b"down\n" and (await call(health, "GET", "/ready"))[0] == 503
+            assert (
+                await agent_check(local_fleet) == b"down\n"
+                and (await call(health, "GET", "/ready"))[0] == 503
+            )
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -210,9 +217,9 @@
 
 
 def test_a_port_or_a_ledger_that_is_in_use_gets_one_line_of_error(tmp_path):
-    async def play():
-        async with Processes(tmp_path, SCRIPT + "ledger()\n") as stage:
-            in_use = address(stage)
+    async def scenario():
+        async with Processes(tmp_path, SCRIPT + "ledger()\n") as local_fleet:
+            in_use = address(local_fleet)
             for text in (
                 SCRIPT + "ledger()\n",
                 SCRIPT.replace('zone = "a")\ngroup', f'zone = "a", listen = "{in_use}")\ngroup'),
@@ -224,7 +231,7 @@
                 assert command.returncode == 2 and "Traceback" not in command.stderr, command.stderr
                 assert command.stderr.splitlines()[-1].startswith("r: ")
 
-    run(play())
+    run(scenario())
 
 
 def test_a_scenario_that_is_stopped_ends_its_processes(tmp_path):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -36,18 +36,18 @@
     assert is_usable(last, waited, listed, 2 * DAY) is expected
 
 
-async def start_successor(stage, path):
-    return await stage._start_process("next", [
+async def start_successor(local_fleet, path):
+    return await local_fleet._start_process("next", [
         sys.executable, "-m", "lifthead.cli", "serve", str(path / "fleet.star"), "--router", "r", "--list",
-        stage.list_url, "--run", str(path), "--log", str(path / "log-next.jsonl"), "--take-over",
+        local_fleet.list_url, "--run", str(path), "--log", str(path / "log-next.jsonl"), "--take-over",
     ])  # fmt: skip
 
 
 def test_no_connection_is_refused_and_no_stream_lost_while_a_router_is_replaced(tmp_path):
-    async def play():
+    async def scenario():
         long_timeouts = SCRIPT.replace('"2s")\ngroup', '"9s")\ngroup').replace('"300ms", body', '"3s", body')
-        async with Processes(tmp_path, long_timeouts) as stage:
-            at, old = stage.router_address("r"), stage._processes["r"]
+        async with Processes(tmp_path, long_timeouts) as local_fleet:
+            at, old = local_fleet.router_address("r"), local_fleet._processes["r"]
             answers, load_ended = [], asyncio.Event()
 
             async def client(number, tokens):
@@ -75,8 +75,8 @@
                     os.close(descriptor)
                 connection.close()
                 await asyncio.sleep(0.2)
-                new = await start_successor(stage, tmp_path)
-                assert new["base_url"] == stage.routers["r"]["base_url"]
+                new = await start_successor(local_fleet, tmp_path)
+                assert new["base_url"] == local_fleet.routers["r"]["base_url"]
                 states = json.loads((await asyncio.to_thread(
                     lifthead, "routers", "--run", tmp_path, "--json")).stdout)  # fmt: skip
                 assert {state["pid"]: state["state"] for state in states} == {
@@ -91,19 +91,19 @@
             served = (tmp_path / "log-next.jsonl").read_text().count('"event":"req"')
             assert 10 < served < len(answers)
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def test_a_router_with_a_ledger_does_not_hand_its_sockets_over(tmp_path):
-    async def play():
-        async with Processes(tmp_path, SCRIPT + "ledger()\n") as stage:
+    async def scenario():
+        async with Processes(tmp_path, SCRIPT + "ledger()\n") as local_fleet:
             with pytest.raises(RuntimeError):
-                await start_successor(stage, tmp_path)
+                await start_successor(local_fleet, tmp_path)
             assert "no router hands its sockets over" in (tmp_path / "next.err").read_text()
-            at = stage.router_address("r")
+            at = local_fleet.router_address("r")
             assert b"[DONE]" in await send_raw(at, http(body("still", stream=True, max_tokens=4)))
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def test_routers_restarted_without_a_pushed_list_serve_with_their_last_one(tmp_path):
@@ -111,28 +111,28 @@
         'router("r", zone = "a")', "\n".join(f'router("r{n}", zone = "a")' for n in range(3))
     )
 
-    async def play():
-        async with Processes(tmp_path, three_routers) as stage:
+    async def scenario():
+        async with Processes(tmp_path, three_routers) as local_fleet:
             answers, load_ended = {}, asyncio.Event()
 
             async def load():
                 number = 0
                 while not load_ended.is_set():
                     number += 1
-                    up = sorted(stage.routers)
-                    at = stage.router_address(up[number % len(up)])
+                    up = sorted(local_fleet.routers)
+                    at = local_fleet.router_address(up[number % len(up)])
                     sent = http(body(f"{number}", stream=True, max_tokens=4))
                     answers[number] = up[number % len(up)], await send_raw(at, sent, within=8)
                     await asyncio.sleep(0.01)
 
             async with asyncio.TaskGroup() as tasks:
                 await asyncio.sleep(1.2)  # until the lists are stored
-                stage._list_server.close()  # restarted routers can't reach the discovery service
+                local_fleet._list_server.close()  # restarted routers can't reach the discovery service
                 loader = tasks.create_task(load())
-                await stage.stop_process("wr2", signal.SIGKILL)  # and the last list names a dead engine
+                await local_fleet.stop_process("wr2", signal.SIGKILL)  # and the last list names a dead engine
                 for name in ("r0", "r1"):
-                    await stage.stop_process(name, signal.SIGTERM)
-                    await stage.start_router(name)
+                    await local_fleet.stop_process(name, signal.SIGTERM)
+                    await local_fleet.start_router(name)
                     await asyncio.sleep(0.5)
                 load_ended.set()
                 await loader
@@ -143,4 +143,4 @@
             for name, found in json.loads(shown.stdout).items():
                 assert found["sources"][0]["age_s"] > 1.5, name  # each router reports the age of its list
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -62,7 +62,7 @@
     """The module's timer fires 4 ms before the budget ends. A loop that is later than that may see the
     attempt time out first, and then rejects a request that may be repeated: 503."""
 
-    async def play(node):
+    async def scenario(node):
         loop = asyncio.get_running_loop()
         async with Client(node.address) as client:
             sent_at = loop.time()
@@ -76,14 +76,14 @@
         return took, status, in_time, violation_count(node)
 
     rd, wr = Releases([PREFILLED]), Engine([HANG])
-    took, status, in_time, violations = run_with_node(play, rd=rd, wr=wr)
+    took, status, in_time, violations = run_with_node(scenario, rd=rd, wr=wr)
     assert LEASE_S * 0.5 < took < LEASE_S + SLACK_S
     assert status == 504 or (status == 503 and group == "ask" and not in_time)
     assert (violations, len(wr.lines("POST"))) == (0, 1)  # nothing runs twice
 
 
 def test_a_call_without_a_response_moves_to_another_engine_before_the_lease_ends():
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(5000))
             return (await client.answer(1.0))[0], violation_count(node)
@@ -92,7 +92,7 @@
     # the one that is drawn first hangs, the other one streams
     scripts = [[HANG], [STREAM]]
     one.scripts, two.scripts = scripts, scripts
-    assert run_with_node(play, rd=rd, wr1=one, wr2=two) == (200, 0)
+    assert run_with_node(scenario, rd=rd, wr1=one, wr2=two) == (200, 0)
     assert len(rd.lines("POST")) == 1 and len(one.lines("POST") + two.lines("POST")) == 2
 
 
@@ -106,7 +106,7 @@
     ],
 )
 def test_a_release_that_its_holder_does_not_answer_goes_to_others_in_time(answer, caplog):
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(5000, request_class="pay", budget_ms="800"))
             await node.until(lambda: one.released_at)
@@ -116,7 +116,7 @@
         return took, status, violation_count(node)
 
     rd, one = Releases([PREFILLED], answer=answer), Releases([HANG])
-    took, status, violations = run_with_node(play, rd=rd, wr=one)
+    took, status, violations = run_with_node(scenario, rd=rd, wr=one)
     assert took < LEASE_S + SLACK_S and (status, violations) == (504, 0)
     said = [record for record in caplog.records if "a release was answered" in record.getMessage()]
     assert len(said) <= 1
@@ -125,7 +125,7 @@
 def test_a_second_answer_after_that_to_a_release_reaches_no_request():
     twice = b"HTTP/1.1 204 No Content\r\n\r\n" + STREAM
 
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(5000, request_class="pay", budget_ms="500"))
             assert (await client.answer())[0] == 504
@@ -133,18 +133,18 @@
         return await exchange(node.address, chat(5000, trace="a2", request_class="pay", budget_ms="500"))
 
     rd, wr = Releases([PREFILLED], answer=twice), Engine([HANG])
-    assert run_with_node(play, rd=rd, wr=wr)[0] == 504  # not the stream behind the release's answer
+    assert run_with_node(scenario, rd=rd, wr=wr)[0] == 504  # not the stream behind the release's answer
 
 
 @pytest.mark.parametrize("answer", [GONE, GONE_UNMARKED])
 def test_a_state_that_is_gone_leads_to_a_final_answer_and_no_held_state(answer):
-    async def play(node):
+    async def scenario(node):
         status = (await exchange(node.address, chat(5000)))[0]
         await node.until(lambda: not node.host.pending_requests)
         return status, violation_count(node)
 
     rd, wr = Releases([PREFILLED]), Engine([answer], [STREAM])
-    status, violations = run_with_node(play, rd=rd, wr=wr)
+    status, violations = run_with_node(scenario, rd=rd, wr=wr)
     assert violations == 0 and status in (200, 503)
     # A 410 does not prove that no state is held: its holder may be cut off from this engine only.
     assert answer is GONE_UNMARKED or len(rd.released_at) == 1
@@ -163,7 +163,7 @@
             else:
                 await super().connection(reader, writer)
 
-    async def play(node):
+    async def scenario(node):
         loop = asyncio.get_running_loop()
         statuses = [(await exchange(node.address, chat(5000, trace="t0")))[0]]
         await asyncio.sleep(0.1)
@@ -172,13 +172,13 @@
         return statuses, loop.time() - began
 
     rd = Silent([PREFILLED])
-    statuses, took = run_with_node(play, rd=rd, wr=Engine())
+    statuses, took = run_with_node(scenario, rd=rd, wr=Engine())
     assert statuses == [200, 200] and took < 0.4
     assert len(rd.lines("POST")) == 2
 
 
 def test_an_abandoned_call_with_a_key_is_repeated_in_its_scope_only():
-    async def play(node):
+    async def scenario(node):
         async with Client(node.address) as client:
             await client.send(chat(5000, budget_ms="1500"))
             status = (await client.answer())[0]
@@ -187,13 +187,13 @@
     # The window ends before a call does.
     with_key = settings_with(Effect="keyed", Group="zone", KeyTtl=60_000)
     rd, one, two = Releases([PREFILLED]), Engine([HANG]), Engine([HANG])
-    status, violations = run_with_node(play, rd=rd, wr1=one, wr2=two, settings=with_key)
+    status, violations = run_with_node(scenario, rd=rd, wr1=one, wr2=two, settings=with_key)
     assert len(one.lines("POST") + two.lines("POST")) == 1 and violations == 0 and status != 200
 
 
 @pytest.mark.parametrize("prompt", [100, 5000])
 def test_an_exception_in_one_request_ends_neither_the_router_nor_that_request(prompt):
-    async def play(node):
+    async def scenario(node):
         sound = node.host.router.on_attempt_ended
 
         def faulty(*args):
@@ -207,7 +207,7 @@
         return first, second, violation_count(node)
 
     rd, wr = Releases([PREFILLED]), Engine([STREAM])
-    first, second, violations = run_with_node(play, rd=rd, wr=wr)
+    first, second, violations = run_with_node(scenario, rd=rd, wr=wr)
     # The short one was answered before the fault; the long one's prefill had ended, and its state is
     # released.
     assert (first, second, violations) == (200 if prompt == 100 else 504, 200, 0)
@@ -217,7 +217,7 @@
 def test_held_states_are_judged_after_what_arrived_during_a_stall_is_read(monkeypatch):
     """A sweep right after a stall counted releases as unanswered whose answers had arrived."""
 
-    async def play(node):
+    async def scenario(node):
         order = []
         monkeypatch.setattr(node.host, "check_held_states", lambda: order.append("judged"))
 
@@ -239,14 +239,14 @@
             tasks.create_task(answer_read())
         return order
 
-    assert run_with_node(play, rd=Releases([PREFILLED]), wr=Engine([HANG])) == ["read", "judged"]
+    assert run_with_node(scenario, rd=Releases([PREFILLED]), wr=Engine([HANG])) == ["read", "judged"]
 
 
 def test_an_exception_in_a_release_or_a_timer_does_not_end_the_router(monkeypatch):
     def faulty(*_):
         raise ZeroDivisionError("planted")
 
-    async def play(node):
+    async def scenario(node):
         monkeypatch.setattr(node.host, "_recently_heard", faulty)
         node.host.set_timer(0, -5)
         monkeypatch.setattr(node.host.router, "_check_health", faulty)
@@ -258,4 +258,4 @@
         return answers
 
     rd, wr = Releases([PREFILLED], answer=None), Engine([HANG], [STREAM])
-    assert run_with_node(play, rd=rd, wr=wr) == [504, 200]
+    assert run_with_node(scenario, rd=rd, wr=wr) == [504, 200]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -242,9 +242,9 @@
     """The engine file is replaced, swapped, broken, emptied and removed; a removed engine gets no new
     attempts after 250 ms."""
 
-    async def play():
-        async with Processes(tmp_path, FOUR) as stage:
-            engines = {name: engine["address"] for name, engine in stage.engines.items()}
+    async def scenario():
+        async with Processes(tmp_path, FOUR) as local_fleet:
+            engines = {name: engine["address"] for name, engine in local_fleet.engines.items()}
 
             def lines(*names, total=None):
                 engine_lines = [
@@ -259,10 +259,10 @@
 
             watched = tmp_path / "engines.star"
             put(lines("rd", "wr", "wr2", "wr3"))
-            await stage.stop_process("r", signal.SIGKILL)
-            stage.engine_file = watched
-            await stage.start_router("r")
-            at = address(stage)
+            await local_fleet.stop_process("r", signal.SIGKILL)
+            local_fleet.engine_file = watched
+            await local_fleet.start_router("r")
+            at = address(local_fleet)
             assert b"[DONE]" in await send_raw(at, http(body(stream=True)))
 
             async def state():
@@ -324,12 +324,12 @@
             between = [line for line in attempts if changed + 250_000 < line["t"] < changed + 1_000_000]
             assert attempts and not between and confirmed > changed + 1_000_000
             os.remove(watched)
-            await stage.stop_process("r", signal.SIGKILL)
-            await stage.start_router("r")  # without the file: it uses the last stored generation
-            assert b"[DONE]" in await send_raw(address(stage), http(body(stream=True)))
+            await local_fleet.stop_process("r", signal.SIGKILL)
+            await local_fleet.start_router("r")  # without the file: it uses the last stored generation
+            assert b"[DONE]" in await send_raw(address(local_fleet), http(body(stream=True)))
             assert (await state())["file"]["generation"] == 5
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 async def _not_rejected(state):
@@ -341,8 +341,8 @@
 
 
 def test_a_drain_by_command_survives_a_router_restart(tmp_path):
-    async def play():
-        async with Processes(tmp_path, FOUR) as stage:
+    async def scenario():
+        async with Processes(tmp_path, FOUR) as local_fleet:
 
             def drain(*arguments):
                 return lifthead("drain-engines", *arguments, "--run", tmp_path, "--json")
@@ -356,13 +356,14 @@
 
             async def check_answers(count):
                 calls = [
-                    send_raw(address(stage), http(body(f"{n} {count}", stream=True))) for n in range(count)
+                    send_raw(address(local_fleet), http(body(f"{n} {count}", stream=True)))
+                    for n in range(count)
                 ]
                 assert all(b"[DONE]" in answer for answer in await asyncio.gather(*calls))
 
             await check_answers(30)
-            await stage.stop_process("r", signal.SIGKILL)
-            await stage.start_router("r")
+            await local_fleet.stop_process("r", signal.SIGKILL)
+            await local_fleet.start_router("r")
             await check_answers(30)
             records = [
                 json.loads(line)
@@ -381,7 +382,7 @@
                 '"forward"' in line and json.loads(line)["t"] > drained_at + 250_000 for line in records
             )
 
-    asyncio.run(asyncio.wait_for(play(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def listed_engines(loop):
@@ -394,7 +395,7 @@
 def test_a_drain_that_could_not_be_stored_does_not_hold(tmp_path, monkeypatch):
     """The operator is told that the drain was refused, so no later list may put it in force."""
 
-    async def play():
+    async def scenario():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
             daemon = loop.daemon
             daemon.on_push(ListUpdate(True, listed_engines(loop)))
@@ -407,11 +408,11 @@
             assert daemon._drain_engines({"selector": "wr"})["taken"]
             assert daemon.host.endpoints["wr"].readiness == "draining"
 
-    run(play())
+    run(scenario())
 
 
 def test_the_time_limit_of_a_drain_does_not_follow_a_step_of_the_wall_clock(tmp_path):
-    async def play():
+    async def scenario():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
             daemon, ahead = loop.daemon, loop.daemon.host.start_times.wall_offset
             daemon.on_push(ListUpdate(True, listed_engines(loop)))
@@ -423,11 +424,11 @@
                 assert 4 < answer["engines"][0]["left_s"] <= 5
                 daemon._drain_engines({"selector": "wr", "undo": True})
 
-    run(play())
+    run(scenario())
 
 
 def test_a_list_that_could_not_be_stored_is_stored_once_there_is_space(tmp_path, monkeypatch):
-    async def play():
+    async def scenario():
         async with Loopback(tmp_path, engines=("rd", "wr")) as loop:
             daemon, calls = loop.daemon, []
 
@@ -444,7 +445,7 @@
             stored = msgspec.json.decode(daemon._list_file.read_bytes(), type=LastList)
             assert {engine.name for engine in stored.engines} == {"rd", "wr"}
 
-    run(play())
+    run(scenario())
 
 
 def full_disk(*_):
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -20,7 +20,7 @@
 
 
 def test_many_routers_started_at_once_on_two_cores_are_ready_in_time(tmp_path):
-    async def play():
+    async def scenario():
         wr, discovery = Engine(), DiscoveryServer()
         server = await asyncio.start_server(wr.connection, "127.0.0.1", 0)
         await discovery.up(target("wr", "{}:{}".format(*server.sockets[0].getsockname())))
@@ -37,7 +37,7 @@
         server.close()
         return took, status
 
-    took, status = asyncio.run(play())
+    took, status = asyncio.run(scenario())
     assert took[AT_ONCE * 9 // 10 - 1] < READY_WITHIN_S and status == 200
 
 
@@ -52,14 +52,14 @@
     ],
 )
 def test_ready_means_that_a_request_would_be_served(targets, status):
-    async def play():
+    async def scenario():
         async with Node() as node:
             node.update_engines(*targets)
             async with Client(node.address) as client:
                 await client.send(READY_REQUEST)
                 return (await client.answer())[0]
 
-    assert asyncio.run(play()) == status
+    assert asyncio.run(scenario()) == status
 
 
 def test_a_start_imports_no_more_than_it_needs():
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -147,10 +147,10 @@
     assert splice.obstacle(body(**fields)) == reason
 
 
-def fleet(*paces, streams=3, until=2 * S):
+def fleet(*token_intervals, streams=3, until=2 * S):
     """Engines e0, e1, ... that decode a token every so many microseconds on each of their streams."""
     detector = StallDetector(10 * S)
-    for engine, pace in enumerate(paces):
+    for engine, pace in enumerate(token_intervals):
         for number in range(streams):
             detector.started(engine * 100 + number, f"e{engine}", 0)
             for now in range(pace, until + 1, pace):
@@ -361,7 +361,7 @@
 
 @pytest.mark.parametrize("how", ["reset", "silent", "twice", "overlap"])
 def test_a_resumed_stream_repeats_and_skips_no_character(tmp_path, how):
-    async def play():
+    async def scenario():
         names = ("rd", "wr", "wr2", "wr3")
         async with Loopback(tmp_path, engines=names, text=THREE) as loop:
             requests = [body(f"question {n}", stream=True, max_tokens=300) for n in range(12)]
@@ -389,12 +389,12 @@
                 and not loop.daemon.host._running_streams
             )
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("case", ["non-replayable", "several choices", "no decode engine left", "off"])
 def test_a_stream_that_can_not_be_resumed_ends_with_an_error_at_once(tmp_path, case):
-    async def play():
+    async def scenario():
         engines = ("rd", "wr") if case == "no decode engine left" else ("rd", "wr", "wr2")
         text = SCRIPT.replace("rules(", "rules(resume = False, ") if case == "off" else SCRIPT
         async with Loopback(tmp_path, engines=engines, text=text) as loop:
@@ -414,14 +414,14 @@
             )  # an answer may be whole before the reset
             assert time.monotonic() - began < 4 and not loop.daemon.host.pending_requests
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("case", ["non-replayable", "off", "off, draining"])
 def test_a_stream_that_can_not_be_resumed_is_left_to_its_engine(tmp_path, case):
     """Its decode engine is silent for a while, or drains with a deadline: cutting the stream breaks it."""
 
-    async def play():
+    async def scenario():
         text = SCRIPT.replace("rules(", "rules(resume = False, ") if "off" in case else SCRIPT
         text = text.replace('stalled_for = "600ms"', 'stalled_for = "6s"')
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2"), text=text) as loop:
@@ -460,11 +460,11 @@
             assert last == b"[DONE]" and answer_text == expected(request)
             assert len(attempts_at(loop, "wr", "wr2")) == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_a_client_that_leaves_while_its_stream_waits_to_be_resumed(tmp_path):
-    async def play():
+    async def scenario():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
             loop.daemon.host.resumptions.take_next = lambda now: []  # no stream may be resumed now
             loop.fault("wr", "reset", lasts=20)
@@ -476,11 +476,11 @@
             await loop.until(lambda: not loop.daemon.host.pending_requests, 1.0)
             assert not loop.daemon.host.resumptions.waiting_count and not loop.daemon.host._running_streams
 
-    run(play())
+    run(scenario())
 
 
 def test_a_drain_with_a_deadline_moves_the_streams_that_would_outlive_it(tmp_path):
-    async def play():
+    async def scenario():
         async with Loopback(tmp_path, engines=("rd", "wr", "wr2")) as loop:
             requests = [body(f"drain {n}", stream=True, max_tokens=300) for n in range(6)]
             for name in ("wr", "wr2"):
@@ -514,4 +514,4 @@
                 answer_text, last, _ = stream_content(answer)
                 assert last == b"[DONE]" and answer_text == expected(request)
 
-    run(play())
+    run(scenario())
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -203,22 +203,22 @@
 
 
 def test_a_killed_roll_command_resumes_on_real_processes(tmp_path):
-    async def play():
-        async with Processes(tmp_path, SCRIPT) as stage:
+    async def scenario():
+        async with Processes(tmp_path, SCRIPT) as local_fleet:
             restart_log = tmp_path / "restarts"
             command = f"echo {{name}} >> {restart_log}; kill -TERM $(cat {tmp_path}/{{name}}.pid); sleep 0.4"
 
             async def restart_exited():  # the process manager: restarts engines that have exited
                 while True:
-                    for name, process in list(stage._processes.items()):
+                    for name, process in list(local_fleet._processes.items()):
                         (tmp_path / f"{name}.pid").write_text(str(process.pid))
-                        if process.returncode is not None and name in stage.engines:
-                            del stage._processes[name]
-                            await stage.start_engine(name, cold=True)
+                        if process.returncode is not None and name in local_fleet.engines:
+                            del local_fleet._processes[name]
+                            await local_fleet.start_engine(name, cold=True)
                     await asyncio.sleep(0.05)
 
             arguments = ["-m", "lifthead.cli", "roll", "kind:writer", "--restart", command, "--floor", "0.4"]
-            at, answers = stage.router_address("r"), []
+            at, answers = local_fleet.router_address("r"), []
 
             async def load():
                 for number in range(400):
@@ -249,4 +249,4 @@
             assert {row["readiness"] for row in json.loads(shown.stdout)["r"]} == {"ready"}
             assert not (tmp_path / "roll.json").exists()
 
-    asyncio.run(asyncio.wait_for(play(), 90))
+    asyncio.run(asyncio.wait_for(scenario(), 90))
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -66,28 +66,28 @@
     assert work(LARGE) < 1.5 * work(SMALL)
 
 
-def node_with(size, play):
+def node_with(size, scenario):
     async def run():
         async with asyncio.TaskGroup() as tasks:
             host = Host(parse_config(json.dumps(config()).encode()), tasks)
             text = list_update(
                 *(target(f"{'rd' if n % 3 == 0 else 'wr'}{n}", f"127.0.0.1:{n + 1}") for n in range(size))
             )
-            return play(host, text)
+            return scenario(host, text)
 
     return asyncio.run(run())
 
 
 def test_the_work_for_a_whole_list_is_proportional_to_its_length():
     def work(size):
-        def play(host, text):
+        def scenario(host, text):
             def take():
                 host.on_list_update(parse_update(text))
                 host.router._apply_list()
 
             return lines_run(take), lines_run(take)
 
-        return node_with(size, play)
+        return node_with(size, scenario)
 
     for small, large in zip(work(SMALL), work(LARGE), strict=True):
         assert large < 1.3 * small * LARGE / SMALL
@@ -95,7 +95,7 @@
 
 def test_the_memory_for_an_engine_does_not_grow_with_the_fleet():
     def bytes_each(size):
-        def play(host, text):
+        def scenario(host, text):
             tracemalloc.start()
             try:
                 host.on_list_update(parse_update(text))
@@ -104,7 +104,7 @@
             finally:
                 tracemalloc.stop()
 
-        return node_with(size, play)
+        return node_with(size, scenario)
 
     small, large = bytes_each(SMALL), bytes_each(LARGE)
     assert large < 1.2 * small and large < 4096
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from runs import run_until_judged
+from runs import run_until_conclusive
 
 from lifthead.standins.faults import shim
 from lifthead.standins.faults.reproductions import REPRODUCTIONS, REQUESTS, run_reproduction
@@ -35,7 +35,7 @@
             variables = {"PYTHONPATH": SHIM, **environment}
             healthy = REPRODUCTIONS["healthy"]
             async with slots, asyncio.timeout(RUN_TIMEOUT):
-                return await run_until_judged(
+                return await run_until_conclusive(
                     lambda run: run_reproduction(healthy, path / str(run), source, environment=variables)
                 )
 
