--- a/benchmarks/resume.py
+++ b/benchmarks/resume.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from lifthead.deployment import script
-from lifthead.resume.notice import FLOOR
+from lifthead.resume.stall_detector import MIN_SILENCE
 from lifthead.standins import day, verify
 
 DAYS = {
@@ -48,8 +48,8 @@
             with tempfile.TemporaryDirectory() as out:
                 file = Path(out) / "day.star"
                 file.write_text(text_of(trouble, resume))
-                summary = asyncio.run(day.play(script.read(file), file, Path(out), seed))
-                traffic = verify.read(Path(out))
+                summary = asyncio.run(day.run_scenario(script.read(file), file, Path(out), seed))
+                traffic = verify.read_records(Path(out))
                 broken, resumed = logs(out, "stream broken"), logs(out, "stream resumed")
                 clients = {line["req"]: line["client_id"] for line in logs(out, "req")}
                 saved = {each["req"] for each in resumed}
@@ -60,7 +60,9 @@
                 ]
                 silent = {each["req"] for each in resumed if "silent" in each["cause"]}
                 best = [
-                    (FLOOR if each["req"] in silent else 0) + each["read_anew"] / READ_PER_S * 1e6 + STEP
+                    (MIN_SILENCE if each["req"] in silent else 0)
+                    + each["read_anew"] / READ_PER_S * 1e6
+                    + STEP
                     for each in resumed
                 ]
                 streams = {each["req"] for each in broken}
--- a/lifthead/fleet/health.py
+++ b/lifthead/fleet/health.py
@@ -1,4 +1,4 @@
-"""What a router says of itself to balancers: agent-check over TCP, and HTTP pages."""
+"""What a router reports to load balancers: an agent-check over TCP, and HTTP pages."""
 
 import asyncio
 import contextlib
@@ -10,68 +10,71 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Condition:
-    """The facts that a router's word rests on."""
+class RouterStatus:
+    """The facts from which a router's health is derived."""
 
-    listed: bool  # a list of engines has come since the start
-    writers: int  # ready engines that write
+    engines_listed: bool  # an engine list has come since the start
+    decode_engines: int  # ready engines that decode
     stopping: bool
-    drained: bool  # an operator asked it to take no more
-    weight: int = 100  # percent of its usual traffic that it wants (weight.py)
+    drain_requested: bool  # an operator asked the router to take no more requests
+    weight: int = 100  # percent of its usual traffic that it asks for (members/weight.py)
 
     @property
     def ready(self) -> bool:
-        return self.listed and self.writers > 0 and not self.stopping and not self.drained
+        return (
+            self.engines_listed and self.decode_engines > 0 and not self.stopping and not self.drain_requested
+        )
 
     @property
-    def word(self) -> str:
-        """Agent-check's: `ready`, `up N%` while it wants less, `drain`, `down`."""
-        if self.stopping or self.drained:
+    def agent_reply(self) -> str:
+        """The reply to an agent-check: `ready`, `up N%` while it asks for less traffic, `drain` or `down`."""
+        if self.stopping or self.drain_requested:
             return "drain"
-        if not self.listed or not self.writers:
+        if not self.engines_listed or not self.decode_engines:
             return "down"
         return "ready" if self.weight == 100 else f"up {self.weight}%"
 
     @property
-    def why(self) -> str:
-        if self.stopping or self.drained:
+    def reason(self) -> str:
+        """The sentence for operators that the page /ready and the field `why` of a router's state show."""
+        if self.stopping or self.drain_requested:
             return "drains: takes no more"
-        if not self.listed:
+        if not self.engines_listed:
             return "no list of engines yet"
-        return "takes reqs" if self.writers else "no engine left that writes"
+        return "takes reqs" if self.decode_engines else "no engine left that writes"
 
 
-async def agent(
-    condition: Callable[[], Condition], _: asyncio.StreamReader, writer: asyncio.StreamWriter
+async def serve_agent_check(
+    status: Callable[[], RouterStatus], _: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """One agent-check: a word and a line's end, then closed."""
+    """Answers one agent-check with a line, then closes the connection."""
     with contextlib.suppress(ConnectionError):
-        writer.write(f"{condition().word}\n".encode())
+        writer.write(f"{status().agent_reply}\n".encode())
         await writer.drain()
     writer.close()
 
 
-async def pages(
-    condition: Callable[[], Condition],
+async def serve_http(
+    status: Callable[[], RouterStatus],
     metrics: Callable[[], bytes],
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """/live, /ready and /metrics, one answer a connection."""
-    parser = http1.ReqParser(8192, 8192)
+    """Serves /live, /ready and /metrics, one answer a connection."""
+    parser = http1.RequestParser(8192, 8192)
     with contextlib.suppress(ConnectionError, TimeoutError, HttpError):
         async with asyncio.timeout(5):
-            while not parser.ready:
+            while not parser.requests:
                 data = await reader.read(8192)
                 if not data:
                     break
                 parser.feed(data)
             else:
-                path = parser.ready[0].path.partition("?")[0]
-                now = condition()
-                status, body = {
+                path = parser.requests[0].path.partition("?")[0]
+                current = status()
+                code, body = {
                     "/live": (200, b"live\n"),
-                    "/ready": (200 if now.ready else 503, f"{now.why}\n".encode()),
+                    "/ready": (200 if current.ready else 503, f"{current.reason}\n".encode()),
                     "/metrics": (200, b"" if path != "/metrics" else metrics()),
                 }.get(path, (404, b"expected /live, /ready or /metrics\n"))
                 fields = {
@@ -79,6 +82,6 @@
                     "content-length": str(len(body)),
                     "connection": "close",
                 }
-                writer.write(http1.answer_head(status, fields) + body)
+                writer.write(http1.encode_answer_head(code, fields) + body)
                 await writer.drain()
     writer.close()
--- a/lifthead/lab/router.py
+++ b/lifthead/lab/router.py
@@ -9,12 +9,12 @@
 from lifthead import control
 from lifthead.deployment.derive import deployment
 from lifthead.deployment.fleet import EngineSpec, Fleet
-from lifthead.engines.codec import ENDINGS, Observation
-from lifthead.interface import Demand, Ending, EngineEntry, LoadReport
+from lifthead.engines.codec import OUTCOMES, Observation
+from lifthead.interface import AttemptOutcome, EngineEntry, LoadReport, RequestSpec
 from lifthead.lab.clock import Clock
 from lifthead.lab.engine import Engine, Sent
-from lifthead.resume import notice
-from lifthead.resume.rescue import Broken, Rescue
+from lifthead.resume import stall_detector
+from lifthead.resume.resume_queue import BrokenStream, ResumeQueue
 
 HOP = 250  # microseconds that a message between two processes takes
 LOOK_EVERY = 50_000
@@ -52,10 +52,10 @@
         self.hands: dict[int, Hand] = {}
         self.streams: dict[int, Hand] = {}  # begun or waiting for another place, by serial
         self.readiness: dict[str, tuple[str, int]] = {}
-        self.rescue = Rescue()
+        self.rescue = ResumeQueue()
         self._next = 1
         start = deployment(self.fleet, self.name, hash_seed(self.seed, self.name, self.life))
-        self.grace, self.groups = int(self.fleet.rules.drain_grace), start.groups
+        self.grace, self.groups = int(self.fleet.rules.drain_grace), start.request_classes
         self.control = self.decide(self, start)
 
     def kill(self) -> list[Hand]:
@@ -77,7 +77,7 @@
             news.append(
                 EngineEntry(spec.name, spec.zone, spec.cell, spec.kind, spec.weight, up_since, readiness)
             )
-        self.control.on_engines(news, whole)
+        self.control.on_engine_list(news, whole)
 
     @property
     def ready(self) -> bool:
@@ -94,7 +94,7 @@
 
     def _place(self, hand: Hand, budget: int, prompt: int, most: int) -> None:
         ask = hand.ask
-        self.control.on_req(Demand(
+        self.control.on_request(RequestSpec(
             hand.id, ask.group, ask.tenant, budget, prompt, most, ask.session, ask.beginning,
             ask.beginning_len, 0, ask.again or hand.legs > 0, *hand.ran,
         ))  # fmt: skip
@@ -103,11 +103,11 @@
         if hand.ended or not self.up:
             return
         hand.ended = "left"
-        self.control.on_expired(hand.id)
-        self.rescue.settled(hand.serial)
+        self.control.on_client_left(hand.id)
+        self.rescue.remove(hand.serial)
         self.streams.pop(hand.serial, None)
         if hand.begun and hand.out:
-            self.cancel(hand.id, hand.out.number)
+            self.cancel_attempt(hand.id, hand.out.number)
         self._forget(hand)
 
     # What the module does.
@@ -115,15 +115,15 @@
     def now(self) -> int:
         return self.clock.now
 
-    def wake(self, after: int, label: int) -> None:
-        self.clock.after(after, self._ring, self.life, label)
+    def set_timer(self, after: int, key: int) -> None:
+        self.clock.after(after, self._ring, self.life, key)
 
     def _ring(self, life: int, label: int) -> None:
         if life == self.life and self.up:
-            self.control.on_wake(label)
+            self.control.on_timer(label)
 
-    def forward(self, req: int, engine: str, abandon_at: int, send_by: int) -> None:
-        hand, at = self.hands[req], self.engines[engine]
+    def start_attempt(self, request_id: int, engine: str, abandon_at: int, send_by: int) -> None:
+        hand, at = self.hands[request_id], self.engines[engine]
         ask, prompt = hand.ask, hand.ask.prompt + hand.written
         hand.out = sent = Sent(
             f"{self.name}-{self.life:x}-{hand.serial}.{hand.sent}", ask.id, self, hand, hand.forwards, at,
@@ -153,17 +153,17 @@
             return self.told(sent, Observation.CUT, 0, None)
         return sent.engine.arrive(sent)
 
-    def cancel(self, req: int, forward: int) -> None:
-        hand = self.hands.get(req)
+    def cancel_attempt(self, request_id: int, number: int) -> None:
+        hand = self.hands.get(request_id)
         sent = hand.out if hand else None
-        if sent and sent.number == forward and not sent.called_off:
+        if sent and sent.number == number and not sent.called_off:
             sent.called_off = True
             observation = Observation.STALLED if sent.lost else Observation.CALLED_OFF
             self.clock.after(0, self._end, sent, observation)
 
-    def free_state(self, req: int) -> None:
+    def release_state(self, request_id: int) -> None:
         """A decode call that has arrived keeps its state: a release takes nothing from it."""
-        hand = self.hands.get(req)
+        hand = self.hands.get(request_id)
         if hand and hand.held:
             hand.release_due = hand.out is not None and hand.out.engine.reachable
             if not hand.release_due:
@@ -175,11 +175,11 @@
             self.clock.after(HOP, engine.release, forward)
             hand.held = None
 
-    def push_back(self, req: int, hold_off: int) -> None:
-        self._answer(self.hands[req], "pushed back", hold_off)
+    def reject(self, request_id: int, retry_after: int) -> None:
+        self._answer(self.hands[request_id], "pushed back", retry_after)
 
-    def abort(self, req: int) -> None:
-        self._answer(self.hands[req], "aborted", 0)
+    def fail(self, request_id: int) -> None:
+        self._answer(self.hands[request_id], "aborted", 0)
 
     def _answer(self, hand: Hand, how: str, hold_off: int = 0) -> None:
         if hand.ended:
@@ -187,7 +187,7 @@
         if how != "done" and (hand.begun or hand.legs):
             how = "aborted"
         hand.ended = how
-        self.rescue.settled(hand.serial)
+        self.rescue.remove(hand.serial)
         self.streams.pop(hand.serial, None)
         self.clock.after(HOP, hand.ask.answered, hand, how, hold_off)
 
@@ -196,7 +196,7 @@
 
     def _probed(self, life: int, engine: str) -> None:
         if life == self.life and not self.engines[engine].down:
-            self.control.on_probed(engine, self.engines[engine].load())
+            self.control.on_load_report(engine, self.engines[engine].load())
 
     def watch_engines(self) -> None:
         """The list is pushed."""
@@ -208,10 +208,10 @@
             return
         hand, ask = sent.hand, sent.hand.ask
         hand.begun, hand.held = True, None
-        self.control.on_probed(sent.engine.spec.name, report)
-        self.control.on_begun(hand.id, sent.number, self.clock.now - sent.sent_at, ask.streamed)
+        self.control.on_load_report(sent.engine.spec.name, report)
+        self.control.on_first_token(hand.id, sent.number, self.clock.now - sent.sent_at, ask.streamed)
         if hand.legs:
-            self.rescue.settled(hand.serial)
+            self.rescue.remove(hand.serial)
         elif ask.streamed:
             hand.first_at = self.clock.now
         if ask.streamed:
@@ -246,19 +246,19 @@
             hand.held = sent.engine, sent.id
         elif observation is Observation.STATE_GONE:
             hand.held = None
-        ending, mark = ENDINGS[observation]
+        ending, mark = OUTCOMES[observation]
         hand.out = None
         if hand.release_due and observation is not Observation.READ:
             hand.release_due = False
             self._release(hand)
         waits = False
-        if hand.begun and ending is not Ending.DONE:
+        if hand.begun and ending is not AttemptOutcome.COMPLETED:
             if not hand.ask.streamed:
                 hand.begun = False
             elif not hand.ended:
                 waits = self._broken(hand, sent, min(made, sent.words))
-        final = ending is Ending.DONE or hand.ended != "" or waits
-        self.control.on_ended(
+        final = ending is AttemptOutcome.COMPLETED or hand.ended != "" or waits
+        self.control.on_attempt_ended(
             hand.id, sent.number, sent.engine.spec.name, ending, self.clock.now - sent.sent_at, note or mark,
             final, report,
         )  # fmt: skip
@@ -281,41 +281,46 @@
             self._answer(hand, "done")
             return False
         broken = self._as_broken(hand, sent)
-        why = self.rescue.lost(broken) if self.fleet.rules.resume else "resume is off"
+        why = self.rescue.add(broken) if self.fleet.rules.resume else "resume is off"
         if why:
             hand.begun = True  # its client has a part of it
             self._answer(hand, "aborted")
             return False
         self.streams[hand.serial] = hand
-        self.clock.at(self.rescue.latest(broken) + LOOK_EVERY, self._too_late, self.life)
+        self.clock.at(self.rescue.waits_until(broken) + LOOK_EVERY, self._too_late, self.life)
         return True
 
-    def _as_broken(self, hand: Hand, sent: Sent) -> Broken:
+    def _as_broken(self, hand: Hand, sent: Sent) -> BrokenStream:
         ask = hand.ask
-        return Broken(
+        return BrokenStream(
             hand.serial, ask.tenant, self.groups[ask.group], hand.written, ask.prompt + hand.written,
             max(ask.most - hand.written, 1), hand.legs, sent.sent_at, "", self.clock.now,
         )  # fmt: skip
 
     def _too_late(self, life: int) -> None:
         if life == self.life and self.up:
-            for broken in self.rescue.too_late(self.clock.now):
+            for broken in self.rescue.expire(self.clock.now):
                 self._answer(self.streams[broken.stream], "aborted")
             self._place_broken()
 
     def _place_broken(self) -> None:
-        self.rescue.running = len(self.streams) - self.rescue.waiting
-        for broken in self.rescue.next(self.clock.now):
+        self.rescue.running_streams = len(self.streams) - self.rescue.waiting_count
+        for broken in self.rescue.take_next(self.clock.now):
             hand = self.streams[broken.stream]
             self.hands.pop(hand.id, None)
             hand.id, self._next = self._next, self._next + 1
             self.hands[hand.id] = hand
             hand.legs, hand.forwards = hand.legs + 1, 0
-            self._place(hand, self.rescue.budget(broken, self.clock.now), broken.to_read, broken.left)
+            self._place(
+                hand,
+                self.rescue.first_token_budget(broken, self.clock.now),
+                broken.prefill_tokens,
+                broken.remaining_tokens,
+            )
 
     def mute(self, sent: Sent) -> None:
         """A single stream of a writer that writes others says nothing more."""
-        self.clock.after(NOTICED * notice.ONE_OF_MANY, self._lose, sent, "silent")
+        self.clock.after(NOTICED * stall_detector.SINGLE_STREAM_FACTOR, self._lose, sent, "silent")
         self.clock.after(self.fleet.limits.stalled_for, self._end, sent, Observation.STALLED)
 
     def _lose(self, sent: Sent, why: str) -> None:
@@ -323,21 +328,21 @@
         movable = (
             self.up and self.fleet.rules.resume and hand.out is sent and hand.begun and hand.ask.streamed
         )
-        if movable and not hand.ended and not self.rescue.refusal(self._as_broken(hand, sent)):
+        if movable and not hand.ended and not self.rescue.refusal_reason(self._as_broken(hand, sent)):
             sent.lost = why
-            self.cancel(hand.id, sent.number)
+            self.cancel_attempt(hand.id, sent.number)
 
     def lose(self, engine: Engine, why: str) -> None:
-        """Its streams are moved, those that can be: a while into a silence, as resume/notice.py would, and
-        where a drain's limit ends."""
+        """Its streams are moved, those that can be: a while into a silence, as resume/stall_detector.py does,
+        and where a drain's limit ends."""
         for hand in list(self.streams.values()):
             if hand.out and hand.out.engine is engine:
                 self._lose(hand.out, why)
 
 
-NOTICED = notice.FLOOR + LOOK_EVERY  # microseconds into a silence after which streams are taken for lost
+NOTICED = stall_detector.MIN_SILENCE + LOOK_EVERY  # microseconds of silence after which streams count as lost
 
 
 def hash_seed(seed: int, name: str, life: int) -> int:
     """A seed of its own for each life of each router; the same on every machine."""
-    return int.from_bytes(control.rank(f"{seed}|{life}", name))
+    return int.from_bytes(control.rendezvous_hash(f"{seed}|{life}", name))
--- a/lifthead/lab/world.py
+++ b/lifthead/lab/world.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from lifthead import control
-from lifthead.deployment.fleet import Fleet, Trouble
+from lifthead.deployment.fleet import FaultSpec, Fleet
 from lifthead.lab.clock import Clock
 from lifthead.lab.crowd import Crowd, Trend
 from lifthead.lab.engine import Engine, Overheads
@@ -18,7 +18,7 @@
 from lifthead.lab.tally import Tally
 from lifthead.standins import verify
 from lifthead.standins.engine import Fault
-from lifthead.standins.record import facts
+from lifthead.standins.record import checker_settings
 
 AT_ENGINES = ("silent", "slow", "reset", "lost", "full", "flush", "garbage", "link_slow")
 RESTART = 700_000  # microseconds that a process takes to start
@@ -93,7 +93,7 @@
         longest = max((group.deadline for group in self.fleet.groups.values()), default=0)
         self.clock.run(self.crowd.until + int(longest) * 2 + 2_000_000)
         if self.tapes:
-            self._tape("facts")("facts", **facts(self.fleet))
+            self._tape("facts")("facts", **checker_settings(self.fleet))
             self._tape("stage")("over")
             self.tapes.close()
         took = time.perf_counter() - began
@@ -119,9 +119,9 @@
 
     # Troubles.
 
-    def _trouble(self, trouble: Trouble) -> None:
+    def _trouble(self, trouble: FaultSpec) -> None:
         self._tape("stage")("trouble", what=trouble.what, engines=trouble.engines, routers=trouble.routers)
-        names, lasts = self.fleet.chosen(trouble.engines), int(trouble.lasts)
+        names, lasts = self.fleet.select_engines(trouble.engines), int(trouble.lasts)
         if trouble.what in AT_ENGINES:
             for name in names:
                 self._fault(name, trouble.what, lasts, trouble.part, trouble.times, trouble.group)
@@ -172,7 +172,7 @@
         self.engines[name].start(cold)
         self._say("ready", name, started=cold)
 
-    def _havoc(self, names: list[str], trouble: Trouble, until: int) -> None:
+    def _havoc(self, names: list[str], trouble: FaultSpec, until: int) -> None:
         if self.clock.now >= until:
             return
         name, what = self.chance.choice(names), self.chance.choice(("kill", "silent", "reset", "reset"))
@@ -201,7 +201,7 @@
         self._tell(router, list(self.listed.values()), True)
         self._next_router(rest, lasts)
 
-    def _trend(self, trouble: Trouble) -> None:
+    def _trend(self, trouble: FaultSpec) -> None:
         assert self.fleet.crowd
         trend = {
             "burst": Trend(rate=trouble.times),
@@ -223,4 +223,4 @@
     """A day's summary, and its traffic as the checker of real days reads it."""
     with tempfile.TemporaryDirectory() as directory:
         summary = World(fleet, seed, Path(directory), decide, overheads).run()
-        return summary, verify.read(Path(directory))
+        return summary, verify.read_records(Path(directory))
--- a/lifthead/node/host.py
+++ b/lifthead/node/host.py
@@ -1,9 +1,10 @@
-"""The one caller of control.Router in the node: news from sockets becomes calls, its calls become tasks.
+"""The node's host of the decision module (control.Router): reports events to it and carries out its calls.
 
-Boundaries kept here:
-- the module's calls return at once and its news comes on a later turn of the loop, in order, from one loop;
-- what any host does alike (one final answer, attempts out, wake-ups) is in lifthead/hosting.py;
-- deadlines are the module's; a begun stream without a byte for long is cut, and that is logged.
+- The decision module's calls return at once. Their results are reported to it on a later turn of the event
+  loop, in order, from that one loop.
+- What all hosts have in common (one final answer, attempts in flight, timers) is in lifthead/hosting.py.
+- The decision module sets the deadlines. The host itself cuts only a begun stream that falls silent, and logs
+  that.
 """
 
 import asyncio
@@ -15,468 +16,521 @@
 from lifthead import control, hosting
 from lifthead.chat.server import Reply
 from lifthead.engines.codec import Observation
-from lifthead.engines.link import Connection, Lasting, Link, UnwrittenError
+from lifthead.engines.link import Connection, ConnectionPool, IdleLimit, NotSentError
 from lifthead.events import Event, EventLog, Record
 from lifthead.guard import RequestGuard, Rule, Work
-from lifthead.hosting import AttemptInFlight, Hosting, now, wall_ahead
+from lifthead.hosting import AttemptInFlight, BaseHost, now, wall_clock_offset
 from lifthead.http1 import HttpError, Message
-from lifthead.interface import Effect, LoadReport
+from lifthead.interface import Idempotency, LoadReport
 from lifthead.node import clients, engines
-from lifthead.node.discovery import News
-from lifthead.node.start import Start
-
-ASK_WITHIN = 0.5  # seconds for a probe; the module is told nothing of a lost one
-CHECK_WITHIN = 0.1  # seconds for a kept connection to show that it is not silent
-RELEASE_WITHIN = 0.5  # seconds for an engine to answer a release
-RUNS_WITHIN = 2.0  # ... and for one that may stand still to answer anything
-# A release goes to the holder, then after so many seconds each without an answer also to others.
+from lifthead.node.discovery import EngineListUpdate
+from lifthead.node.start import NodeConfig
+
+PROBE_TIMEOUT = 0.5  # seconds; a probe that times out is reported without a load report
+CONNECTION_CHECK_TIMEOUT = 0.1  # seconds for a reused connection to show that it still works
+RELEASE_TIMEOUT = 0.5  # seconds for an engine to answer a release
+LIVENESS_TIMEOUT = 2.0  # seconds for an engine to answer anything; it may be stalled
+# A release goes to the holder first. After each of these pauses without an answer, in seconds, it also goes
+# to other engines.
 RELEASE_PAUSES = (0.05, 0.05, 0.1, 0.3, 0.5)
-RELEASE_ZONES = 4  # engines that are asked at once, each of another zone
-SWEEP_EVERY = 0.5  # seconds
-LATE = 200_000  # microseconds of delay of ours that are worth a line in the log
-SAID_MOST = 8  # different things that are logged of one engine
-GONE_FOR = 20_000_000  # microseconds for which an engine that is gone is remembered: it may be back
+RELEASE_ZONES = 4  # other engines that get a release after one pause, each in a different zone
+SWEEP_INTERVAL = 0.5  # seconds
+LOGGED_LOOP_DELAY = 200_000  # microseconds of delay of the event loop above which it is logged
+MAX_LOGGED_PER_ENGINE = 8  # different warnings
+FORGET_GONE_AFTER = 20_000_000  # microseconds after which a gone engine is forgotten; it may return before
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class PendingRequest(hosting.PendingRequest):
-    """A request that was taken and whose attempts are not all over."""
+    """An accepted request that has no final answer yet or still has an attempt in flight."""
 
-    group: str
+    request_class: str
     message: Message
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint(hosting.Endpoint):
-    """An engine as the node knows it."""
+    """What the node knows about an engine."""
 
-    heard_at: int = 0
+    last_heard_at: int = 0
     zone: str = ""
-    said: set[str] = field(default_factory=set)  # what was logged of it
+    logged: set[str] = field(default_factory=set)  # warnings that were logged about it
 
 
-class Host(Hosting):
+class Host(BaseHost):
+    """The host of the decision module in a node."""
+
     endpoint_type = Endpoint
 
-    def __init__(self, start: Start, tasks: asyncio.TaskGroup) -> None:
-        super().__init__(start.deployment, tasks)
-        self._start = start
-        self._open_ids: set[str] = set()
-        self._connections = 0  # to engines, in use
-        self.most_connections = start.engines
-        self.shed: Callable[[], object] = bool  # has an idle client's connection closed
-        self.current: Callable[[], bool] = lambda: True  # whether the list is what discovery has now
-        self._unused: dict[Connection, Link] = {}  # to engines, the one that waits longest first
+    def __init__(self, config: NodeConfig, tasks: asyncio.TaskGroup) -> None:
+        super().__init__(config.deployment, tasks)
+        self._config = config
+        self._open_request_ids: set[str] = set()
+        self._connections_in_use = 0  # to engines
+        self.max_connections = config.max_engine_connections
+        self.close_idle_client: Callable[[], object] = bool  # closes the connection of an idle client
+        self.list_is_current: Callable[[], bool] = lambda: True  # whether the list is known to be up to date
+        self._idle_connections: dict[
+            Connection, ConnectionPool
+        ] = {}  # to engines, the longest idle one first
         self.events = EventLog(log)
-        self._lasting = Lasting(start.idle_close / 1e6 * engines.IDLE_PART)
-        self.router = control.Router(self, start.deployment)
-
-    # What comes in.
-
-    def on_news(self, news: News) -> None:
-        """Discovery's word. What is left out of a whole list counts as gone."""
-        at, ahead, entries = now(), wall_ahead(), []
-        for entry, address in news.entries:
-            known = self.endpoints.get(entry.engine)
-            if address or known:  # without an address, only what is known already can be told of
-                address = address or known.link.address
-                self._note(entry.engine, address, entry.kind, entry.readiness, at).zone = entry.zone
-                up_since = self.starts.up_since(entry.engine, entry.up_since, at, ahead)
+        self._lasting = IdleLimit(config.engine_idle_timeout / 1e6 * engines.IDLE_FRACTION)
+        self.router = control.Router(self, config.deployment)
+
+    # Input: updates of the list of engines, and requests of clients.
+
+    def on_list_update(self, update: EngineListUpdate) -> None:
+        """Applies an update of discovery. Engines that a snapshot leaves out count as gone."""
+        received_at, clock_offset, entries = now(), wall_clock_offset(), []
+        for entry, address in update.entries:
+            endpoint = self.endpoints.get(entry.engine)
+            if address or endpoint:  # a new engine without an address is of no use
+                address = address or endpoint.link.address
+                self._update_endpoint(
+                    entry.engine, address, entry.kind, entry.readiness, received_at
+                ).zone = entry.zone
+                up_since = self.start_times.up_since(entry.engine, entry.up_since, received_at, clock_offset)
                 entries.append(replace(entry, up_since=up_since))
-        self.starts.listed(at)
-        if news.whole:
-            self._only({entry.engine for entry in entries}, at)
-        self.router.on_engines(entries, news.whole)
-
-    def _link(self, address: str) -> Link:
-        bounds = (engines.HEAD_BYTES, engines.PIECE_BYTES)
-        return Link(address, self._start.connect_within / 1e6, self._lasting, bounds, self._unused)
+        self.start_times.on_list(received_at)
+        if update.is_snapshot:
+            self._mark_missing_gone({entry.engine for entry in entries}, received_at)
+        self.router.on_engine_list(entries, update.is_snapshot)
+
+    def _link(self, address: str) -> ConnectionPool:
+        limits = (engines.MAX_HEAD_BYTES, engines.MAX_CHUNK_BYTES)
+        return ConnectionPool(
+            address, self._config.connect_timeout / 1e6, self._lasting, limits, self._idle_connections
+        )
 
     async def answer(self, message: Message, reply: Reply) -> None:
-        """A client's message, from its last byte to the end of its answer."""
-        if message.path == clients.READY and message.method == "GET":
-            return reply.whole(200 if self._served and self.current() else 503, b"")
+        """Serves a client's message until its answer is complete."""
+        if message.path == clients.READY_PATH and message.method == "GET":
+            return reply.send_whole(200 if self._can_serve and self.list_is_current() else 503, b"")
         try:
-            demand = clients.demand_of(message, self._next, self._groups, self.waited(message))
-            client_id = message.headers[clients.ID]
-            if client_id in self._open_ids:
+            demand = clients.parse_request(
+                message, self._next_id, self._request_classes, self.queueing_time(message)
+            )
+            request_id = message.headers[clients.ID_HEADER]
+            if request_id in self._open_request_ids:
                 raise HttpError(409, "a req with this id is open")
-        except HttpError as problem:
+        except HttpError as error:
             reply.keep_alive = False
-            return reply.whole(problem.status, clients.error(problem.status, "bad_req", problem.said))
-        self._next += 1
-        guard = self._guard(client_id, demand.group, demand.budget)
-        pending = PendingRequest(id=demand.id, reply=reply, guard=guard, group=demand.group, message=message)
+            return reply.send_whole(error.status, clients.error_body(error.status, "bad_req", error.reason))
+        self._next_id += 1
+        guard = self._new_guard(request_id, demand.request_class, demand.budget)
+        pending = PendingRequest(
+            id=demand.id, reply=reply, guard=guard, request_class=demand.request_class, message=message
+        )
         self.pending_requests[pending.id] = pending
-        self._open_ids.add(client_id)
-        self.empty.clear()
-        reply.left = lambda: self._left(pending)
-        self._note_event(pending, Event.TAKEN, detail=f"class={demand.group} prompt={demand.prompt}")
-        self._tell_module(demand, pending)
+        self._open_request_ids.add(request_id)
+        self.idle.clear()
+        reply.on_client_gone = lambda: self._on_client_gone(pending)
+        self._note_event(
+            pending, Event.ACCEPTED, detail=f"class={demand.request_class} prompt={demand.prompt_tokens}"
+        )
+        self._place_request(demand, pending)
         await reply.finished.wait()
         self._forget(pending)
 
     @property
-    def _served(self) -> bool:
-        """Whether a request would be: some engine is there for it."""
+    def _can_serve(self) -> bool:
+        """Whether any engine is ready for requests."""
         return any(
             endpoint.readiness == "ready" and endpoint.kind in self._roles
             for endpoint in self.endpoints.values()
         )
 
-    def _left(self, pending: PendingRequest) -> None:
-        """The client went away: what is out for it is called off, what is held is let go of."""
-        if not self._answered(pending, "left"):
+    def _on_client_gone(self, pending: PendingRequest) -> None:
+        """Handles the disconnect of a client: cancels its attempt in flight and releases its held state."""
+        if not self._set_final_answer(pending, "left"):
             return
-        self.router.on_expired(pending.id)
-        if pending.begun and pending.attempt:
-            self.cancel(pending.id, pending.attempt.number)  # a stream that nobody reads
+        self.router.on_client_left(pending.id)
+        if pending.answer_started and pending.attempt:
+            self.cancel_attempt(pending.id, pending.attempt.number)  # nobody receives the stream
         self._forget(pending)
 
-    # What the module does.
+    # Calls of the decision module.
 
-    def push_back(self, req: int, hold_off: int) -> None:
-        pending = self.pending_requests[req]
-        if self._answered(pending, "pushed back"):
-            pending.reply.whole(*clients.push_back(hold_off))
+    def reject(self, request_id: int, retry_after: int) -> None:
+        pending = self.pending_requests[request_id]
+        if self._set_final_answer(pending, "pushed back"):
+            pending.reply.send_whole(*clients.rejection(retry_after))
 
-    def abort(self, req: int) -> None:
-        pending = self.pending_requests[req]
-        if self._answered(pending, "aborted"):
-            pending.reply.whole(*clients.abort())
+    def fail(self, request_id: int) -> None:
+        pending = self.pending_requests[request_id]
+        if self._set_final_answer(pending, "aborted"):
+            pending.reply.send_whole(*clients.failure())
 
     def probe(self, engine: str) -> None:
-        self._spawn(self._probe(engine), f"a probe of {engine}")
+        self._spawn(self._probe(engine), f"probe of {engine}")
 
-    # Carrying an attempt.
+    # Running an attempt.
 
-    async def _carry(self, pending: PendingRequest, attempt: AttemptInFlight, abandon_at: int) -> None:
-        """From the sending of an attempt to the telling of its ending; owns its connection throughout."""
+    async def _run_attempt(self, pending: PendingRequest, attempt: AttemptInFlight, abandon_at: int) -> None:
+        """Runs an attempt until its outcome is reported. It owns the attempt's connection throughout."""
         attempt.started = True
         endpoint = self.endpoints[attempt.engine]
         connection: Connection | None = None
-        observation, note, report = Observation.CALLED_OFF, 0, None
+        observation, cached_tokens, report = Observation.CALLED_OFF, 0, None
         self._note_event(pending, Event.CONNECTING, attempt)
-        self._connections += 1
-        self._make_room()
+        self._connections_in_use += 1
+        self._enforce_connection_limit()
         try:
-            async with asyncio.timeout((abandon_at - now()) / 1e6) as limit:
-                if attempt.called_off:
+            async with asyncio.timeout((abandon_at - now()) / 1e6) as timeout:
+                if attempt.cancelled:
                     raise asyncio.CancelledError
-                # A kept connection that was dropped at the other end can't be told from an attempt that ran.
-                may_repeat = attempt.reading or self._groups[pending.group].effect is Effect.REPLAYABLE
-                fetches_again = attempt.work is Work.FETCH and attempt.number > 1
-                for fresh in (not may_repeat or fetches_again, *[True] * engines.CONNECT_AGAIN):
+                # When a reused connection breaks, the engine may have dropped it unread or may have run the
+                # attempt. So only an attempt that may run twice goes on a reused connection.
+                may_run_twice = (
+                    attempt.is_prefill
+                    or self._request_classes[pending.request_class].idempotency is Idempotency.IDEMPOTENT
+                )
+                is_repeated_fetch = attempt.work is Work.FETCH and attempt.number > 1
+                for fresh in (not may_run_twice or is_repeated_fetch, *[True] * engines.MAX_RECONNECTS):
                     connection = None
                     try:
-                        connection = await self._connection(pending, attempt, endpoint, fresh)
-                        observation, note, report = await self._exchange(
-                            pending, attempt, endpoint, connection, limit, abandon_at
+                        connection = await self._connect(pending, attempt, endpoint, fresh)
+                        observation, cached_tokens, report = await self._send_and_receive(
+                            pending, attempt, endpoint, connection, timeout, abandon_at
                         )
                         break
-                    except UnwrittenError:  # reset before all of it was written: none of it was taken
+                    except NotSentError:  # reset before all of it was written: the engine ran none of it
                         observation = Observation.NO_CONNECTION
                         if connection:
                             connection.abort()
         except TimeoutError:
             observation = Observation.OUT_OF_TIME if connection else Observation.NO_CONNECTION
-            if pending.begun:
+            if pending.answer_started:
                 observation = Observation.STALLED
-                _say_once(endpoint, attempt.engine, "a stream fell silent and was cut")
+                _log_once(endpoint, attempt.engine, "a stream fell silent and was cut")
         except asyncio.CancelledError:
-            if not attempt.called_off:
+            if not attempt.cancelled:
                 raise  # the process ends
             observation = Observation.CALLED_OFF
         except OSError:
             observation = Observation.CUT if connection else Observation.NO_CONNECTION
-        except HttpError as problem:
+        except HttpError as error:
             observation = Observation.STRANGE
-            _say_once(endpoint, attempt.engine, f"strange answer: {problem.said[:120]}")
-        except Exception:  # guards all other requests against a fault of ours in this one
+            _log_once(endpoint, attempt.engine, f"malformed answer: {error.reason[:120]}")
+        except Exception:  # a bug that this request meets must not affect the others
             observation = Observation.CUT
-            log.exception("a forward to %s", attempt.engine)
-        self._connections -= 1
+            log.exception("attempt at engine %s failed", attempt.engine)
+        self._connections_in_use -= 1
         if connection and observation is Observation.CUT:
-            endpoint.link.broke(connection)
+            endpoint.link.record_broken(connection)
         elif connection and connection.uses and not connection.answered:
-            endpoint.link.close()  # others that rest may be silent as well
+            endpoint.link.close()  # the other idle connections may be silent as well
         if observation not in (Observation.READ, Observation.WRITTEN):
             reason = f"reason={observation.name.lower()} work={attempt.work.value}"
-            self._report_event(pending, Event.CLOSED, attempt, f"{reason} {connection or ''}")
-        await self._part(pending, attempt, endpoint, connection, observation)
-        self._over(pending, attempt, observation, note, report)
+            self._report_event(pending, Event.CONNECTION_CLOSED, attempt, f"{reason} {connection or ''}")
+        await self._return_connection(pending, attempt, endpoint, connection, observation)
+        self._finish_attempt(pending, attempt, observation, cached_tokens, report)
 
-    async def _connection(
+    async def _connect(
         self, pending: PendingRequest, attempt: AttemptInFlight, endpoint: Endpoint, fresh: bool
     ) -> Connection:
-        """A connection for an attempt. A kept one may have fallen silent with no error, so it is asked first:
-        a release of what this request holds, which is nothing yet. A call that is to fetch a state can't ask
-        that; its lease bounds the wait."""
-        connection = await endpoint.link.take(fresh)
+        """Returns a connection for an attempt. An idle connection may have gone silent without an error, so
+        it is checked with a release for this request, which holds nothing yet. Where the attempt is to fetch
+        a held state the check would release it, so there is none; the lease bounds the wait instead."""
+        connection = await endpoint.link.acquire(fresh)
         if not connection.uses or attempt.work is Work.FETCH:
             return connection
-        question = engines.release(pending.guard.request)
-        if await connection.answers(question, CHECK_WITHIN):
+        release_request = engines.encode_release(pending.guard.request)
+        if await connection.is_alive(release_request, CONNECTION_CHECK_TIMEOUT):
             return connection
-        self._report_event(pending, Event.CLOSED, attempt, f"reason=silent {connection}")
-        endpoint.link.broke(connection)
+        self._report_event(pending, Event.CONNECTION_CLOSED, attempt, f"reason=silent {connection}")
+        endpoint.link.record_broken(connection)
         connection.abort()
-        endpoint.link.close()  # others that rest may be silent as well
-        return await endpoint.link.take(fresh=True)
+        endpoint.link.close()  # the other idle connections may be silent as well
+        return await endpoint.link.acquire(fresh=True)
 
-    async def _exchange(
+    async def _send_and_receive(
         self,
         pending: PendingRequest,
         attempt: AttemptInFlight,
         endpoint: Endpoint,
         connection: Connection,
-        limit: asyncio.Timeout,
+        timeout: asyncio.Timeout,
         due_at: int,
     ) -> tuple[Observation, int, LoadReport | None]:
-        """Sends an attempt and reads its answer: what was seen, tokens found kept, the load told with it."""
-        if refused := self._refused(pending, attempt, endpoint):
+        """Sends an attempt and reads its answer. Returns what was observed, the prompt tokens that were found
+        in the prefix cache, and the load report that came with the answer."""
+        if refused := self._check_before_sending(pending, attempt, endpoint):
             return refused, 0, None
-        self._note_event(pending, Event.WRITING, attempt, f"uses={connection.uses}")
-        await connection.send(engines.forward(pending.message, due_at - attempt.sent_at))
-        pending.guard.written(attempt)
-        self.router.on_written(pending.id, attempt.number, connection.uses > 0)
-        self._note_event(pending, Event.WRITTEN, attempt)
-        head = await connection.head()
-        endpoint.heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, attempt.sent_at)
+        self._note_event(pending, Event.SENDING, attempt, f"uses={connection.uses}")
+        await connection.send(engines.encode_attempt(pending.message, due_at - attempt.sent_at))
+        pending.guard.on_sent(attempt)
+        self.router.on_attempt_sent(pending.id, attempt.number, connection.uses > 0)
+        self._note_event(pending, Event.SENT, attempt)
+        head = await connection.read_head()
+        endpoint.last_heard_at, endpoint.last_answered_sent_at = (
+            now(),
+            max(endpoint.last_answered_sent_at, attempt.sent_at),
+        )
         self._note_event(pending, Event.CONFIRMED, attempt, f"status={head.status}")
-        report = engines.report_with(head.headers)
+        report = engines.load_report_in(head.headers)
         observation = engines.observation_of(head)
-        pending.guard.confirmed_by(attempt)
+        pending.guard.on_confirmed(attempt)
         if observation is Observation.STATE_GONE:
-            pending.guard.state_gone()
+            pending.guard.on_state_gone()
         if observation:
-            body = await connection.rest(engines.ANSWER_BYTES)
+            body = await connection.read_whole_body(engines.MAX_ANSWER_BYTES)
             if observation is not Observation.READ:
                 return observation, 0, report
-            pending.guard.leased(attempt, now())
+            pending.guard.on_leased(attempt, now())
             self._note_event(pending, Event.LEASED, attempt)
-            return observation, engines.tokens_kept(body), report
-        return await self._stream(pending, attempt, connection, limit)
+            return observation, engines.cached_tokens_in(body), report
+        return await self._relay_stream(pending, attempt, connection, timeout)
 
-    async def _stream(
+    async def _relay_stream(
         self,
         pending: PendingRequest,
         attempt: AttemptInFlight,
         connection: Connection,
-        limit: asyncio.Timeout,
+        timeout: asyncio.Timeout,
     ) -> tuple[Observation, int, LoadReport | None]:
-        """Relays a writer's events as they come. Until the first has, another attempt is possible."""
-        events, guarded_at = engines.Events(), 0.0
-        held_back = b""
-        while data := await connection.more():
-            passes = held_back + events.feed(data)
+        """Relays the events of a decode engine as they arrive. Another attempt is possible until the first
+        one has arrived."""
+        events, timer_set_at = engines.EventStream(), 0.0
+        buffered = b""
+        while data := await connection.read_body():
+            complete_events = buffered + events.feed(data)
             if not events.begun:
-                held_back = passes
+                buffered = complete_events
                 continue
-            held_back = b""
-            if pending.ended:
+            buffered = b""
+            if pending.final_answer:
                 return Observation.CALLED_OFF, 0, None
-            if not pending.begun:
-                pending.begun = True
-                pending.guard.fetched(attempt, now())
-                self._releases.look_at(pending.guard)
+            if not pending.answer_started:
+                pending.answer_started = True
+                pending.guard.on_first_token(attempt, now())
+                self._release_tasks.update(pending.guard)
                 self._note_event(pending, Event.FETCHED, attempt)
-                pending.message.body = b""  # there is no further attempt, and streams are long
-                self.router.on_begun(pending.id, attempt.number, now() - attempt.sent_at)
-                pending.reply.begin({}, passes)
-                room = True
+                pending.message.body = b""  # no other attempt follows, and a stream may last long
+                self.router.on_first_token(pending.id, attempt.number, now() - attempt.sent_at)
+                pending.reply.begin({}, complete_events)
+                has_room = True
             else:
-                room = pending.reply.send(passes) if passes else True
-            if not room:
-                limit.reschedule(None)  # a slow client is not a silent engine
-                await pending.reply.room()
-                guarded_at = 0.0
-            if self._loop.time() > guarded_at + engines.SILENT_FOR / 8:
-                guarded_at = self._loop.time()
-                limit.reschedule(guarded_at + engines.SILENT_FOR * 9 / 8)
-        if not pending.begun or not events.whole:
-            raise HttpError(502, "a stream that is not whole")
-        if self._answered(pending, "done"):
+                has_room = pending.reply.send(complete_events) if complete_events else True
+            if not has_room:
+                timeout.reschedule(None)  # a slow client is not a silent engine
+                await pending.reply.wait_writable()
+                timer_set_at = 0.0
+            if self._loop.time() > timer_set_at + engines.STREAM_SILENCE_TIMEOUT / 8:
+                timer_set_at = self._loop.time()
+                timeout.reschedule(timer_set_at + engines.STREAM_SILENCE_TIMEOUT * 9 / 8)
+        if not pending.answer_started or not events.is_complete:
+            raise HttpError(502, "incomplete stream")
+        if self._set_final_answer(pending, "done"):
             pending.reply.end()
-        return Observation.WRITTEN, events.kept, events.report
+        return Observation.WRITTEN, events.cached_tokens, events.report
 
-    def _over(
+    def _finish_attempt(
         self,
         pending: PendingRequest,
         attempt: AttemptInFlight,
         observation: Observation,
-        note: int,
+        cached_tokens: int,
         report: LoadReport | None,
     ) -> None:
-        """Tells how an attempt ended. A stream that broke at its client ends with no last chunk."""
-        ending, mark = engines.ENDINGS[observation]
-        self._ended(pending, attempt, observation)
-        if pending.begun and self._answered(pending, "broken"):
-            pending.reply.cut()
-        final = pending.ended != ""
-        took = now() - attempt.sent_at
-        self._note_event(pending, Event.ENDED, attempt, f"outcome={observation.name.lower()} took_us={took}")
-        with self._telling(pending):
-            self.router.on_ended(
-                pending.id, attempt.number, attempt.engine, ending, took, note or mark, final, report
+        """Reports how an attempt ended. A stream that broke off ends without its last chunk at the client."""
+        outcome, outcome_note = engines.OUTCOMES[observation]
+        self._on_attempt_ended(pending, attempt, observation)
+        if pending.answer_started and self._set_final_answer(pending, "broken"):
+            pending.reply.truncate()
+        final = pending.final_answer != ""
+        took_us = now() - attempt.sent_at
+        self._note_event(
+            pending, Event.ENDED, attempt, f"outcome={observation.name.lower()} took_us={took_us}"
+        )
+        with self._timers_belong_to(pending):
+            self.router.on_attempt_ended(
+                pending.id,
+                attempt.number,
+                attempt.engine,
+                outcome,
+                took_us,
+                cached_tokens or outcome_note,
+                final,
+                report,
             )
-        if pending.ended and pending.attempt is None:
-            self.free_state(pending.id)  # guards rule 5 where the module has forgotten the request
+        if pending.final_answer and pending.attempt is None:
+            # The decision module may have forgotten the request; its state must still be released in time.
+            self.release_state(pending.id)
         self._forget(pending)
 
-    def _make_room(self) -> None:
-        """Engines' connections stay within their part of the descriptors: the longest unused one goes, then
-        an idle client. What is out for clients stays within: there are fewer of those (start.CLIENTS)."""
+    def _enforce_connection_limit(self) -> None:
+        """Keeps the connections to engines within their share of the descriptors: closes the longest idle
+        ones first, then the connection of an idle client. Open requests never need more than that share,
+        since there are fewer connections of clients (start.CLIENT_SHARE)."""
         while (
-            self._unused and self._connections + len(self._unused) + len(self._ending) > self.most_connections
+            self._idle_connections
+            and self._connections_in_use + len(self._idle_connections) + len(self._half_closed)
+            > self.max_connections
         ):
-            next(iter(self._unused.values())).drop_oldest()
-        while self._ending and self._connections + len(self._ending) > self.most_connections:
-            self._drop_ending()
-        if self._connections > self.most_connections:
-            self.shed()
-
-    async def _ask_to_release(self, guard: RequestGuard) -> int:
-        """Asks more and more engines until one has answered, as any of them passes a release on. All but the
-        first question go on connections of their own: what is kept may be silent, as whatever led to the
-        release may have been."""
-        began, holder = now(), guard.held_at
-        beside = guard.attempt.engine if guard.attempt else "none"
-        reason = guard.final or "lease"
-        detail = f"reason={reason} in_flight={beside} holders={','.join(guard.holders.values())}"
-        self.events.report(began, Event.RELEASING, guard.request, engine=holder, detail=detail)
-        asked_at = await self._ask_each(holder, engines.release(guard.request))
-        took = now() - began
-        if asked_at:
-            beside = guard.attempt.engine if guard.attempt else "none"
-            detail = f"took_us={took} asked_at_us={asked_at} in_flight={beside}"
-            self.events.report(now(), Event.RELEASED, guard.request, engine=holder, detail=detail)
+            next(iter(self._idle_connections.values())).close_oldest()
+        while self._half_closed and self._connections_in_use + len(self._half_closed) > self.max_connections:
+            self._drop_half_closed()
+        if self._connections_in_use > self.max_connections:
+            self.close_idle_client()
+
+    async def _send_releases(self, guard: RequestGuard) -> int:
+        """Sends a release to more and more engines until one has answered; any engine passes it on. All but
+        the first message go on new connections: idle ones may be silent, as the connection that made the
+        release necessary may have been."""
+        started_at, holder = now(), guard.holder
+        in_flight = guard.attempt.engine if guard.attempt else "none"
+        reason = guard.final_answer or "lease"
+        detail = f"reason={reason} in_flight={in_flight} holders={','.join(guard.holders.values())}"
+        self.events.add_and_log(started_at, Event.RELEASING, guard.request, engine=holder, detail=detail)
+        sent_at = await self._release_at_engines(holder, engines.encode_release(guard.request))
+        took_us = now() - started_at
+        if sent_at:
+            in_flight = guard.attempt.engine if guard.attempt else "none"
+            detail = f"took_us={took_us} asked_at_us={sent_at} in_flight={in_flight}"
+            self.events.add_and_log(now(), Event.RELEASED, guard.request, engine=holder, detail=detail)
         else:
-            self.events.report(now(), Event.RELEASE_UNANSWERED, guard.request, engine=holder)
-        return asked_at
-
-    async def _ask_each(self, holder: str, question: bytes) -> int:
-        """When the first question that was answered was sent, 0 if none was."""
-        answered, asked_at = asyncio.Event(), 0
-
-        async def ask(engine: str, fresh: bool) -> None:
-            nonlocal asked_at
-            began = now()
-            answer = await self._ask(engine, question, RELEASE_WITHIN, fresh)
-            if answer and answer[0].status in engines.RELEASED:
-                asked_at = asked_at or began
+            self.events.add_and_log(now(), Event.RELEASE_UNANSWERED, guard.request, engine=holder)
+        return sent_at
+
+    async def _release_at_engines(self, holder: str, release_request: bytes) -> int:
+        """Returns when the first answered release was sent, 0 if none was answered."""
+        answered, sent_at = asyncio.Event(), 0
+
+        async def send_release(engine: str, fresh: bool) -> None:
+            nonlocal sent_at
+            started_at = now()
+            answer = await self._query_engine(engine, release_request, RELEASE_TIMEOUT, fresh)
+            if answer and answer[0].status in engines.RELEASE_TAKEN_STATUSES:
+                sent_at = sent_at or started_at
                 answered.set()
             elif answer and (endpoint := self.endpoints.get(engine)):
-                _say_once(endpoint, engine, f"a release was answered with {answer[0].status}")
+                _log_once(endpoint, engine, f"a release was answered with {answer[0].status}")
 
-        async with asyncio.TaskGroup() as asking:
+        async with asyncio.TaskGroup() as task_group:
             tasks = []
-            for turn, pause in enumerate(RELEASE_PAUSES):
-                asked = [holder, *self._last_heard(holder, turn - 1)] if turn else [holder]
-                tasks += [asking.create_task(ask(engine, turn > 0)) for engine in asked]
+            for round_number, pause in enumerate(RELEASE_PAUSES):
+                targets = (
+                    [holder, *self._recently_heard(holder, round_number - 1)] if round_number else [holder]
+                )
+                tasks += [
+                    task_group.create_task(send_release(engine, round_number > 0)) for engine in targets
+                ]
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(pause):
                         await answered.wait()
                         break
             for task in tasks:
                 task.cancel()
-        return asked_at
+        return sent_at
 
-    def _last_heard(self, holder: str, turn: int) -> list[str]:
-        """The engine last heard of in each zone, or the one before it at a later turn: a zone that is cut off
-        was heard of until a moment ago."""
-        there: dict[str, list[str]] = {self._start.deployment.zone: []}
-        for name in sorted(self.endpoints, key=lambda name: -self.endpoints[name].heard_at):
+    def _recently_heard(self, holder: str, round_number: int) -> list[str]:
+        """Returns the engine that was heard from last in each zone, in later rounds the one before it. It
+        looks in several zones because a zone that is cut off was also heard from until a moment ago."""
+        names_by_zone: dict[str, list[str]] = {self._config.deployment.zone: []}
+        for name in sorted(self.endpoints, key=lambda name: -self.endpoints[name].last_heard_at):
             if name != holder and self.endpoints[name].readiness != "gone":
-                there.setdefault(self.endpoints[name].zone, []).append(name)
-        zones = [names for names in there.values() if names][:RELEASE_ZONES]
-        return [names[turn % len(names)] for names in zones]
-
-    async def _is_answered(self, engine: str, guard: RequestGuard) -> bool:
-        """Any engine takes a release of a request that is over, and any status shows that it runs."""
-        answer = await self._ask(engine, engines.release(guard.request), RUNS_WITHIN, fresh=True)
+                names_by_zone.setdefault(self.endpoints[name].zone, []).append(name)
+        zones = [names for names in names_by_zone.values() if names][:RELEASE_ZONES]
+        return [names[round_number % len(names)] for names in zones]
+
+    async def _ping(self, engine: str, guard: RequestGuard) -> bool:
+        """Pings an engine with a release: it is harmless once the request is over, and any status shows that
+        the engine runs."""
+        answer = await self._query_engine(
+            engine, engines.encode_release(guard.request), LIVENESS_TIMEOUT, fresh=True
+        )
         detail = f"answered={'no' if answer is None else 'yes'}"
-        self.events.report(now(), Event.CHECKED, guard.request, engine=engine, detail=detail)
+        self.events.add_and_log(now(), Event.ENGINE_CHECKED, guard.request, engine=engine, detail=detail)
         return answer is not None
 
     async def _probe(self, engine: str) -> None:
-        answer = await self._ask(engine, engines.PROBE, ASK_WITHIN)
+        answer = await self._query_engine(engine, engines.PROBE_REQUEST, PROBE_TIMEOUT)
         report = None
         if answer:
             head, body = answer
-            report = engines.report_with(head.headers) or engines.report_of(body.decode("latin-1"))
-        self.router.on_probed(engine, report)
+            report = engines.load_report_in(head.headers) or engines.parse_load_report(body.decode("latin-1"))
+        self.router.on_load_report(engine, report)
 
-    async def _ask(
-        self, engine: str, data: bytes, within: float, fresh: bool = False
+    async def _query_engine(
+        self, engine: str, data: bytes, timeout: float, fresh: bool = False
     ) -> tuple[Message, bytes] | None:
-        """One short question; None if it was not answered in time."""
+        """Sends a short message to an engine; returns None if it is not answered in time."""
         endpoint = self.endpoints.get(engine)
         if endpoint is None:
-            return None  # gone, and forgotten since
-        self._connections += 1
-        began = now()
+            return None  # it is gone and was forgotten
+        self._connections_in_use += 1
+        started_at = now()
         try:
-            self._make_room()
-            answer = await endpoint.link.ask(data, within, fresh)
+            self._enforce_connection_limit()
+            answer = await endpoint.link.exchange(data, timeout, fresh)
             if answer:
-                endpoint.heard_at, endpoint.answered_for = now(), max(endpoint.answered_for, began)
+                endpoint.last_heard_at, endpoint.last_answered_sent_at = (
+                    now(),
+                    max(endpoint.last_answered_sent_at, started_at),
+                )
             return answer
         finally:
-            self._connections -= 1
+            self._connections_in_use -= 1
 
-    async def look_after_links(self) -> None:
-        """Closes what waits unused for too long, forgets engines that are gone, as new ones come all day, and
-        looks for states that are held for too long."""
+    async def maintain_links(self) -> None:
+        """Closes connections that are idle for too long, forgets gone engines, which new ones replace all the
+        time, and looks for states that are held for too long."""
         while True:
-            due_at = now() + int(SWEEP_EVERY * 1e6)
-            await asyncio.sleep(SWEEP_EVERY)
-            if (late := now() - due_at) > LATE:
-                log.warning("the event loop is %d ms late", late // 1000)
-            await self.judge_held_states()
-            past, in_use = now() - GONE_FOR, self._in_use()
+            due_at = now() + int(SWEEP_INTERVAL * 1e6)
+            await asyncio.sleep(SWEEP_INTERVAL)
+            if (delay := now() - due_at) > LOGGED_LOOP_DELAY:
+                log.warning("the event loop is %d ms late", delay // 1000)
+            await self.check_held_states_on_time()
+            forget_before, in_use = now() - FORGET_GONE_AFTER, self._engines_in_use()
             for name, endpoint in list(self.endpoints.items()):
-                endpoint.link.sweep()
-                if endpoint.readiness == "gone" and endpoint.told_at < past and name not in in_use:
+                endpoint.link.close_expired()
+                if (
+                    endpoint.readiness == "gone"
+                    and endpoint.readiness_since < forget_before
+                    and name not in in_use
+                ):
                     endpoint.link.close()
                     del self.endpoints[name]
 
-    def _in_use(self) -> set[str]:
-        hands = self.pending_requests.values()
-        guards = [*(pending.guard for pending in hands), *self._releases.guards]
+    def _engines_in_use(self) -> set[str]:
+        pending_requests = self.pending_requests.values()
+        guards = [*(pending.guard for pending in pending_requests), *self._release_tasks.guards]
         holders = {engine for guard in guards for engine in guard.holders.values()}
-        return {pending.attempt.engine for pending in hands if pending.attempt} | holders
+        return {pending.attempt.engine for pending in pending_requests if pending.attempt} | holders
 
-    # The end of a request.
+    # End of a request.
 
-    def _answered(self, pending: PendingRequest, ended: str) -> bool:
-        first = super()._answered(pending, ended)
-        if first and ended == "done":
+    def _set_final_answer(self, pending: PendingRequest, ended: str) -> bool:
+        is_first = super()._set_final_answer(pending, ended)
+        if is_first and ended == "done":
             self._note_event(pending, Event.ANSWERED, detail=f"reason={ended}")
-        elif first:
+        elif is_first:
             self._report_event(pending, Event.ANSWERED, detail=f"reason={ended} attempts={pending.attempts}")
-        return first
+        return is_first
 
     def _forget(self, pending: PendingRequest) -> bool:
         if not super()._forget(pending):
             return False
         self._note_event(pending, Event.FORGOTTEN)
-        self._open_ids.discard(pending.message.headers[clients.ID])
+        self._open_request_ids.discard(pending.message.headers[clients.ID_HEADER])
         return True
 
-    # Evidence.
+    # Log and events.
 
-    def _violated(self, rule: Rule, request: str, why: str) -> None:
-        self.events.report(now(), Event.VIOLATION, request, detail=f"rule={rule.value} why={why}")
+    def _on_violation(self, rule: Rule, request: str, why: str) -> None:
+        self.events.add_and_log(now(), Event.VIOLATION, request, detail=f"rule={rule.value} why={why}")
         self.events.dump(f"{rule.value} violated", request)
 
     def _note_event(
         self, pending: PendingRequest, event: Event, attempt: AttemptInFlight | None = None, detail: str = ""
     ) -> Record:
         number, engine = (attempt.number, attempt.engine) if attempt else (-1, "")
-        return self.events.note(now(), event, pending.message.headers[clients.ID], number, engine, detail)
+        return self.events.add(
+            now(), event, pending.message.headers[clients.ID_HEADER], number, engine, detail
+        )
 
     def _report_event(
         self, pending: PendingRequest, event: Event, attempt: AttemptInFlight | None = None, detail: str = ""
@@ -484,8 +538,8 @@
         self.events.log(self._note_event(pending, event, attempt, detail))
 
 
-def _say_once(endpoint: Endpoint, engine: str, what: str) -> None:
-    """Once for an engine, not once for a request."""
-    if what not in endpoint.said and len(endpoint.said) < SAID_MOST:
-        endpoint.said.add(what)
-        log.warning("%s: %s", engine, what)
+def _log_once(endpoint: Endpoint, engine: str, text: str) -> None:
+    """Logs a warning about an engine, unless it was logged about this engine before."""
+    if text not in endpoint.logged and len(endpoint.logged) < MAX_LOGGED_PER_ENGINE:
+        endpoint.logged.add(text)
+        log.warning("%s: %s", engine, text)
--- a/lifthead/simhost/__main__.py
+++ b/lifthead/simhost/__main__.py
@@ -1,10 +1,10 @@
 import sys
 
+from lifthead.instance_settings import MalformedError
 from lifthead.simhost.serve import serve
-from lifthead.terms import MalformedError
 
 if __name__ == "__main__":
     try:
         serve(sys.stdin, sys.stdout)
-    except MalformedError as problem:
-        sys.exit(f"lifthead.simhost: {problem}")
+    except MalformedError as error:
+        sys.exit(f"lifthead.simhost: {error}")
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""A router and stand-in engines in one loop, on ports that the system gives; raw clients to talk to them."""
+"""A router and stand-in engines in one event loop on free local ports, and clients that talk to them."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 
 from lifthead.daemon.serve import Daemon
 from lifthead.deployment import script
-from lifthead.engines.codec import ListedEngine, ListNews
+from lifthead.engines.codec import ListedEngine, ListUpdate
 from lifthead.standins.engine import Engine, Fault
 from lifthead.standins.record import Record, lines, now
 
@@ -32,8 +32,8 @@
 """
 
 
-class Listening:
-    """What listens on ports that the system gives."""
+class LocalServers:
+    """Base class of fixtures that listen on free ports."""
 
     servers: list[asyncio.Server]
 
@@ -41,65 +41,76 @@
         self.servers.append(await asyncio.start_server(handler, "127.0.0.1", 0, backlog=2048))
         return "{}:{}".format(*self.servers[-1].sockets[0].getsockname()[:2])
 
-    async def until(self, true, within=3.0):
+    async def until(self, condition, within=3.0):
         async with asyncio.timeout(within):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.01)
 
 
-class Loopback(Listening):
-    """`engines` names the stand-ins to run; `odd` gives handlers that take an engine's place."""
+class Loopback(LocalServers):
+    """A router and its engines.
 
-    def __init__(self, path: Path, engines=("rd", "wr"), odd=None, text=SCRIPT):
-        self.path, self.names, self.odd, self.fleet = path, engines, odd or {}, script.run(text, "loopback")
+    `engines` names the stand-in engines to run; `handlers` maps names to handlers that replace an engine.
+    """
+
+    def __init__(self, path: Path, engines=("rd", "wr"), handlers=None, text=SCRIPT):
+        self.path, self.names, self.handlers, self.fleet = (
+            path,
+            engines,
+            handlers or {},
+            script.run(text, "loopback"),
+        )
         self.engines: dict[str, Engine] = {}
-        self.servers, self.listed = [], {}
+        self.servers, self.engine_addresses = [], {}
 
     async def __aenter__(self):
         self._group = await asyncio.TaskGroup().__aenter__()
         for name in self.names:
             record = Record(self.path / f"engine-{name}.jsonl")
             engine = self.engines[name] = Engine(self.fleet, self.fleet.engines[name], 1, record, False)
-            engine.address = self.listed[name] = await self._listen(engine.connection)
-            self.beats = [*getattr(self, "beats", []), self._group.create_task(engine.steps())]
-        for name, handler in self.odd.items():
-            self.listed[name] = await self._listen(handler)
+            engine.address = self.engine_addresses[name] = await self._listen(engine.handle_connection)
+            self.background_tasks = [
+                *getattr(self, "background_tasks", []),
+                self._group.create_task(engine.run_decode_steps()),
+            ]
+        for name, handler in self.handlers.items():
+            self.engine_addresses[name] = await self._listen(handler)
         log = structlog.wrap_logger(structlog.PrintLogger(open(self.path / "log", "w")))  # noqa: SIM115
         self.daemon = Daemon(self.fleet, "r", 1, log, self._group, self.path)
-        self.beats = [
-            *getattr(self, "beats", []),
-            self._group.create_task(self.daemon.host.look_after_streams()),
+        self.background_tasks = [
+            *getattr(self, "background_tasks", []),
+            self._group.create_task(self.daemon.host.supervise_streams()),
         ]
-        self.address = await self._listen(self.daemon.clients.connection)
-        self.tell()
+        self.address = await self._listen(self.daemon.clients.handle_connection)
+        self.push_list()
         return self
 
-    def tell(self, **readiness):
+    def push_list(self, **readiness):
         specs = self.fleet.engines
-        self.daemon.host.on_list(
-            ListNews(
+        self.daemon.host.on_engine_list(
+            ListUpdate(
                 True,
                 [
                     ListedEngine(
                         name,
-                        at,
+                        address,
                         specs[name].zone,
                         specs[name].cell,
                         specs[name].kind,
                         readiness=readiness.get(name, "ready"),
                     )
-                    for name, at in self.listed.items()
+                    for name, address in self.engine_addresses.items()
                 ],
             )
         )
 
-    def fault(self, name, what, lasts=5.0, part=1.0, times=1.0, group=""):
-        self.engines[name].faults[what] = Fault(now() + int(lasts * 1e6), part, times, group)
+    def fault(self, name, kind, lasts=5.0, part=1.0, times=1.0, group=""):
+        self.engines[name].faults[kind] = Fault(now() + int(lasts * 1e6), part, times, group)
 
     async def __aexit__(self, *_):
-        for task in getattr(self, "beats", []):
+        for task in getattr(self, "background_tasks", []):
             task.cancel()
-        self.daemon.host.give_up_all()
+        self.daemon.host.abort_all()
         self.daemon.host.close()
         for server in self.servers:
             server.close()
@@ -109,12 +120,12 @@
         return lines(self.path / f"engine-{name}.jsonl")
 
 
-def body(text="hi", model="m", **more):
-    return {"model": model, "messages": [{"role": "user", "content": text}], **more}
+def body(text="hi", model="m", **fields):
+    return {"model": model, "messages": [{"role": "user", "content": text}], **fields}
 
 
-def http(said, path="/v1/chat/completions", method="POST", **headers):
-    data = said if isinstance(said, bytes) else json.dumps(said).encode()
+def http(content, path="/v1/chat/completions", method="POST", **headers):
+    data = content if isinstance(content, bytes) else json.dumps(content).encode()
     fields = {
         "host": "x",
         "authorization": f"Bearer {KEY}",
@@ -126,8 +137,8 @@
     return f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode() + data
 
 
-async def raw(address, *parts, until_closed=True, within=5.0):
-    """Sends bytes and returns all that comes back."""
+async def send_raw(address, *parts, until_closed=True, within=5.0):
+    """Sends bytes and returns everything that comes back."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -142,8 +153,8 @@
         writer.close()
 
 
-async def ask(address, said, **headers):
-    """Status and body of one req on a connection of its own."""
-    answer = await raw(address, http(said, **headers))
-    head, _, rest = answer.partition(b"\r\n\r\n")
-    return int(head.split()[1]), rest, head.decode("latin-1").lower()
+async def post_chat(address, content, **headers):
+    """Sends a chat request on a new connection; returns the status, the body and the head of the answer."""
+    answer = await send_raw(address, http(content, **headers))
+    head, _, answer_body = answer.partition(b"\r\n\r\n")
+    return int(head.split()[1]), answer_body, head.decode("latin-1").lower()
--- a/tests/program.py
+++ b/tests/program.py
@@ -1,4 +1,4 @@
-"""The node as a program, beside stand-ins of engines and of discovery in the test's own loop."""
+"""The node as a process, with stand-ins for engines and discovery in the event loop of the test."""
 
 import asyncio
 import contextlib
@@ -9,9 +9,9 @@
 import subprocess
 import sys
 
-from onenode import Client, chunk, config, news, target
+from onenode import Client, config, encode_chunk, list_update, target
 
-READY = b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n"
+READY_REQUEST = b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n"
 
 
 def free_address():
@@ -20,38 +20,38 @@
         return f"127.0.0.1:{free.getsockname()[1]}"
 
 
-def started(path, listen, discovery, most=1024, cores=(), **more):
-    """A process of its own, with so many descriptors at most and on these cores only."""
-    told = config(listen=listen, discovery=discovery, limits={"sockets": most}, **more)
-    path.write_text(json.dumps(told))
+def start_process(path, listen, discovery, max_descriptors=1024, cores=(), **more):
+    """Starts a node process with a limit on descriptors, on these cores only."""
+    config_document = config(listen=listen, discovery=discovery, limits={"sockets": max_descriptors}, **more)
+    path.write_text(json.dumps(config_document))
 
-    def bound():
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+    def limit_resources():
+        resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
         if cores:
             os.sched_setaffinity(0, cores)
 
     return subprocess.Popen(
         [sys.executable, "-B", "-m", "lifthead.node"],
-        env={**os.environ, "NODE_CONFIG": str(path)}, preexec_fn=bound, stderr=subprocess.DEVNULL,
+        env={**os.environ, "NODE_CONFIG": str(path)}, preexec_fn=limit_resources, stderr=subprocess.DEVNULL,
     )  # fmt: skip
 
 
-class Program:
-    """The node as a process that is ready, these engines listed."""
+class NodeProcess:
+    """A node process that is ready and knows these engines."""
 
     def __init__(self, path, **engines):
         self._path, self.engines = path, engines
-        self.discovery, self.servers, self.listed = Discovery(), [], {}
+        self.discovery, self.servers, self.addresses = DiscoveryServer(), [], {}
 
     async def __aenter__(self):
         for uid, engine in self.engines.items():
             server = await asyncio.start_server(engine.connection, "127.0.0.1", 0)
             self.servers.append(server)
-            self.listed[uid] = "{}:{}".format(*server.sockets[0].getsockname())
-        await self.discovery.up(*(target(uid, at) for uid, at in self.listed.items()))
+            self.addresses[uid] = "{}:{}".format(*server.sockets[0].getsockname())
+        await self.discovery.up(*(target(uid, at) for uid, at in self.addresses.items()))
         self.listen = free_address()
-        self.process = started(self._path / "config.json", self.listen, self.discovery.address)
-        await ready(self.listen, 10.0)
+        self.process = start_process(self._path / "config.json", self.listen, self.discovery.address)
+        await wait_until_ready(self.listen, 10.0)
         return self
 
     async def __aexit__(self, *_):
@@ -62,7 +62,7 @@
             server.close()
 
     async def exited(self, within):
-        """Its exit code, and the seconds that it took; TimeoutError if it is still there then."""
+        """Returns the exit code and the seconds until the exit; raises TimeoutError if it takes longer."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         async with asyncio.timeout(within):
@@ -72,7 +72,7 @@
 
 
 @contextlib.contextmanager
-def ending(*processes):
+def killed_at_end(*processes):
     try:
         yield
     finally:
@@ -81,22 +81,22 @@
             process.wait()
 
 
-async def ready(listen, within):
-    """Seconds until it says that it is."""
+async def wait_until_ready(listen, within):
+    """Waits until the node reports that it is ready, and returns the seconds that took."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     async with asyncio.timeout(within):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 async with Client(listen) as client:
-                    await client.send(READY)
+                    await client.send(READY_REQUEST)
                     if (await client.answer())[0] == 200:
                         return loop.time() - began
             await asyncio.sleep(0.05)
 
 
-class Discovery:
-    """One list for all; `down` resets what is open and refuses what comes."""
+class DiscoveryServer:
+    """Sends one list to all callers. `down` resets open connections and refuses new ones."""
 
     def __init__(self):
         self.address, self.targets, self.rev, self.open = free_address(), [], 0, set()
@@ -117,9 +117,9 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
-            writer.write(chunk(news(*self.targets, rev=self.rev) + b"\n"))
+            writer.write(encode_chunk(list_update(*self.targets, rev=self.rev) + b"\n"))
             while not reader.at_eof() and not writer.transport.is_closing():
-                writer.write(chunk(b"\n"))
+                writer.write(encode_chunk(b"\n"))
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(reader.read(100), 1.0)
         self.open.discard(writer)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,8 +11,8 @@
 
 from lifthead import control
 from lifthead.deployment import script
-from lifthead.deployment.durations import Micros
-from lifthead.deployment.fleet import Trouble
+from lifthead.deployment.durations import Microseconds
+from lifthead.deployment.fleet import FaultSpec
 from lifthead.engines.codec import Observation
 from lifthead.lab.clock import Clock
 from lifthead.lab.engine import Engine, Overheads, Sent
@@ -140,9 +140,11 @@
     peer.engine.kill()
     assert peer.run(0.2)[-1][:2] == ("b", Observation.CUT)
     peer.engine.start(cold=True)
-    assert not peer.engine.held and peer.engine.warmth.at(peer.clock.now) == pytest.approx(0.25, abs=0.01)
+    assert not peer.engine.held and peer.engine.warmth.capacity_fraction(peer.clock.now) == pytest.approx(
+        0.25, abs=0.01
+    )
     peer.run(5)
-    assert peer.engine.warmth.at(peer.clock.now) == 1.0
+    assert peer.engine.warmth.capacity_fraction(peer.clock.now) == 1.0
 
 
 def test_the_same_seed_is_the_same_day_whatever_the_processes():
@@ -158,9 +160,11 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_an_emulated_bad_minute_breaks_no_rule_under_the_checker_of_real_days(tmp_path, seed):
     summary = play(Variant(MINUTE), seed, str(tmp_path))
-    traffic = verify.read(tmp_path)
-    assert verify.breaches(traffic) == []
-    assert verify.service(traffic) == pytest.approx(summary["service"], abs=1e-4)  # counted twice, two ways
+    traffic = verify.read_records(tmp_path)
+    assert verify.find_breaches(traffic) == []
+    assert verify.weighted_goodput(traffic) == pytest.approx(
+        summary["service"], abs=1e-4
+    )  # counted twice, two ways
     assert summary["service"] + sum(summary["lost"].values()) == pytest.approx(1, abs=1e-3)
     assert summary["done"] > 0.9 * summary["reqs"]
 
@@ -172,15 +176,15 @@
 @pytest.mark.parametrize("what", [*AT_ENGINES, *OTHERS])
 def test_every_trouble_does_something_and_breaks_no_rule(tmp_path, what):
     fleet = script.read(Path(MINUTE))
-    fleet.crowd = msgspec.structs.replace(fleet.crowd, length=Micros(8_000_000))
+    fleet.crowd = msgspec.structs.replace(fleet.crowd, length=Microseconds(8_000_000))
     fleet.troubles = []
     quiet = World(fleet, 1).run()
     engines = ["cell:0"] if what != "flush" else []
     fleet.troubles = [
-        Trouble(
+        FaultSpec(
             what=what,
-            at=Micros(2_000_000),
-            lasts=Micros(3_000_000),
+            at=Microseconds(2_000_000),
+            lasts=Microseconds(3_000_000),
             engines=engines,
             tenant="kiosk",
             part=0.7,
@@ -189,7 +193,7 @@
     ]
     struck = World(fleet, 1, tmp_path).run()
     assert struck["events"] != quiet["events"] or what in ("late_list", "link_slow")
-    assert verify.breaches(verify.read(tmp_path)) == []
+    assert verify.find_breaches(verify.read_records(tmp_path)) == []
 
 
 @pytest.mark.parametrize(
@@ -206,9 +210,11 @@
 def doctored(path):
     """Decisions with a planted defect: what may have run is sent again, also what must not run twice."""
     text = Path(control.__file__).read_text()
-    sound = (
-        "return self._give_up(request) if request.effect is Effect.NON_REPLAYABLE else self._route(request)"
-    )
+    sound = """return (
+            self._reject_or_fail(request)
+            if request.idempotency is Idempotency.NON_IDEMPOTENT
+            else self._route(request)
+        )"""
     assert text.count(sound) == 1
     (path / "doctored.py").write_text(text.replace(sound, "return self._route(request)"))
     return str(path / "doctored.py")
@@ -217,7 +223,7 @@
 def test_the_search_finds_a_planted_defect_that_the_standard_day_misses(tmp_path):
     planted = Variant(MINUTE, doctored(tmp_path))
     play(Variant(QUIET, planted.decisions), 1, str(tmp_path / "quiet"))
-    assert verify.breaches(verify.read(tmp_path / "quiet")) == []
+    assert verify.find_breaches(verify.read_records(tmp_path / "quiet")) == []
     bounds = Bounds(most=2, length=4_000_000, longest=4_000_000)
     found = search(planted, bounds, 60, 3)
     assert isinstance(found, Found) and any("rule 2" in why for why in found.breaches)
