--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -103,9 +103,8 @@
     seed: Annotated[int, typer.Option(help="Seed of the random numbers in decisions; 0: a random seed.")] = 0,
 ) -> None:
     """Run one router until SIGTERM; then finish its pending requests and exit 0."""
-    from lifthead.ledger.writer import LockedError
-
     from lifthead.daemon import serve as daemon
+    from lifthead.ledger.writer import LockedError
 
     fleet = _read_settings(file)
     name = router or (next(iter(fleet.routers)) if len(fleet.routers) == 1 else "")
