--- a/lifthead/cli.py
+++ b/lifthead/cli.py
@@ -48,9 +48,7 @@
 def check(file: Path, as_json: AsJson = False) -> None:
     """Print the settings of a script and the values that are derived from them."""
     fleet = _read_settings(file)
-    derived = {
-        name: msgspec.to_builtins(derive.deployment(fleet, name, 0), enc_hook=int) for name in fleet.routers
-    }
+    derived = {name: derive.printable(derive.deployment(fleet, name, 0)) for name in fleet.routers}
     if as_json:
         return print_json({"fleet": fleet, "derived": derived})
     for title, part in (
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -62,6 +62,48 @@
     assert settings.request_classes["g"].ttft_target == 1_000_000 and settings.tenants["t"].quota_per_s == 2.0
 
 
+def test_the_printed_keys_of_the_start_settings_stay_when_fields_are_renamed():
+    printed = derive.printable(derive.deployment(script.run(GOOD, "x.star"), "one", 5))
+    assert list(printed) == [
+        "zone",
+        "routers",
+        "tick",
+        "seed",
+        "groups",
+        "tenants",
+        "roles",
+        "memory",
+        "writers_read",
+        "let_go_by",
+        "cold_share",
+        "warm_within",
+        "tip_multiple",
+        "overload_for",
+        "max_forwards",
+        "may_cancel",
+        "may_probe",
+        "may_hold_off",
+        "max_hold_off",
+        "reports_on_probe",
+        "must_ask",
+        "ask_within",
+        "silent_losses",
+    ]
+    assert list(printed["groups"]) == ["g"]
+    assert list(printed["groups"]["g"]) == [
+        "name",
+        "effect",
+        "keyed_within",
+        "keyed_for",
+        "target",
+        "target_per_1000",
+        "deadline",
+        "token_target",
+        "importance",
+        "late_share",
+    ]
+
+
 @pytest.mark.parametrize("path", ["/no/such.star", "."])
 def test_a_script_that_cannot_be_read(path):
     with pytest.raises(script.ScriptError, match="can't be read"):
